--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -21,13 +21,13 @@
 use woodgap::settings::Names;
 use woodgap::{ClassId, Settings, TenantId};
 
-use crate::conn::{Conn, Phase, Socket, SLOW};
+use crate::client_connection::{Conn, Phase, Socket, SLOW};
 use crate::counts::Count;
 use crate::driver::{Answer, Arrival, Msg};
-use crate::exchange::{Call, LONGEST_BODY};
+use crate::exchange::{OutgoingRequest, LONGEST_BODY};
+use crate::guards::{SocketBudget, SocketPermit};
 use crate::request::{drop_hop_headers, Fault, Head};
 use crate::servers::Servers;
-use crate::task::{Budget, Permit};
 use crate::witness::Witness;
 
 /// Most bytes and fields of a request's head.
@@ -65,8 +65,8 @@
     open_cap: usize,
     servers: Rc<Servers>,
     /// Sockets of clients, of all, and of clients that are only told to go.
-    budget: Rc<Budget>,
-    overflow: Rc<Budget>,
+    budget: Rc<SocketBudget>,
+    overflow: Rc<SocketBudget>,
     /// Knows whether the audit shut the node out.
     witness: Option<Rc<Witness>>,
     tx: mpsc::UnboundedSender<Msg>,
@@ -91,7 +91,7 @@
         names: Names,
         open_cap: usize,
         servers: Rc<Servers>,
-        budgets: (Rc<Budget>, Rc<Budget>),
+        budgets: (Rc<SocketBudget>, Rc<SocketBudget>),
         witness: Option<Rc<Witness>>,
         tx: mpsc::UnboundedSender<Msg>,
     ) -> Rc<Self> {
@@ -139,15 +139,15 @@
 
     /// A place for a newcomer: a free one, that of a connection which nothing is open on, or one
     /// where it only hears that it is refused. The last wait is short: refusals take a second at most.
-    async fn place(&self) -> ((Permit, Option<Permit>), bool) {
+    async fn place(&self) -> ((SocketPermit, Option<SocketPermit>), bool) {
         loop {
-            if let Some(own) = self.budget.take() {
+            if let Some(own) = self.budget.try_acquire() {
                 if let Some(socket) = self.servers.permit().await {
                     return ((own, Some(socket)), false);
                 }
             }
             if !self.evict() {
-                if let Some(permit) = self.overflow.take() {
+                if let Some(permit) = self.overflow.try_acquire() {
                     return ((permit, None), true);
                 }
             }
@@ -182,7 +182,12 @@
     }
 
     /// Serves a connection until it ends; past the budget only to say so.
-    async fn serve(self: Rc<Self>, stream: TcpStream, permits: (Permit, Option<Permit>), refuse: bool) {
+    async fn serve(
+        self: Rc<Self>,
+        stream: TcpStream,
+        permits: (SocketPermit, Option<SocketPermit>),
+        refuse: bool,
+    ) {
         // One that comes this late still gets its one request answered: it counts as taken.
         let last = self.closing.get();
         let conn = Conn::new(stream, if refuse || last { REFUSAL } else { SLOW });
@@ -198,7 +203,7 @@
                 } else {
                     clients.handle(request, &state, body_by).await
                 };
-                let crowded = clients.budget.part() > if state.is_first() { CROWDED } else { FULL };
+                let crowded = clients.budget.used_fraction() > if state.is_first() { CROWDED } else { FULL };
                 // Where a body in chunks ended, and so where a next request begins, only the library knows.
                 let ends =
                     state.is_overrun() || state.is_chunked_alone() || clients.answer_by.get().is_some();
@@ -331,7 +336,7 @@
         let deadline = Instant::now() + head.patience.saturating_sub(MARGIN);
         let deadline = self.answer_by.get().map_or(deadline, |by| deadline.min(by));
         let id = self.next_id.replace(self.next_id.get() + 1);
-        let call = Rc::new(Call::new(head.method, head.target, head.headers, body));
+        let call = Rc::new(OutgoingRequest::new(head.method, head.target, head.headers, body));
         // Servers tell requests apart by what clients call them: a second one under an open id would
         // run its effect twice, or be answered with the other's answer.
         let Some(_waiting) = Waiting::new(self, id, head.txn, call.clone()) else {
@@ -393,12 +398,12 @@
     clients: &'a Clients,
     id: u64,
     txn: String,
-    call: Rc<Call>,
+    call: Rc<OutgoingRequest>,
 }
 
 impl<'a> Waiting<'a> {
     /// `None` where the client's name for it is taken.
-    fn new(clients: &'a Clients, id: u64, txn: String, call: Rc<Call>) -> Option<Self> {
+    fn new(clients: &'a Clients, id: u64, txn: String, call: Rc<OutgoingRequest>) -> Option<Self> {
         let new = clients.open.borrow_mut().insert(txn.clone());
         new.then(|| Waiting { clients, id, txn, call })
     }
@@ -408,7 +413,7 @@
     fn drop(&mut self) {
         self.clients.open.borrow_mut().remove(&self.txn);
         // At once, not when the driver comes to it: an attempt may be about to be written.
-        self.call.over.set(true);
+        self.call.is_finished.set(true);
         // For one that was answered the driver has forgotten the id, or knows it as ended.
         let _ = self.clients.tx.send(Msg::Disconnected(self.id));
     }
--- a/src/bin/woodgap/discovery/mod.rs
+++ b/src/bin/woodgap/discovery/mod.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 use woodgap::list::List;
 
-use crate::task::AbortOnDrop;
+use crate::guards::AbortOnDrop;
 pub use keep::Answerer;
 use keep::Feed;
 use lists::{Item, Lists};
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -20,10 +20,10 @@
 
 use crate::counts::Count;
 use crate::discovery::{watch, Answerer};
-use crate::exchange::Call;
+use crate::exchange::OutgoingRequest;
+use crate::guards::AbortOnDrop;
 use crate::peers::Peers;
 use crate::servers::{Ended, Servers, TIDY};
-use crate::task::AbortOnDrop;
 use crate::witness::{Decision, Witness};
 
 /// The module answers at the deadline it was given; what it has not answered this much later, the
@@ -51,7 +51,7 @@
     pub repeat: bool,
     pub cost: Option<Micros>,
     pub deadline: Instant,
-    pub call: Rc<Call>,
+    pub call: Rc<OutgoingRequest>,
     pub reply: oneshot::Sender<Answer>,
 }
 
@@ -98,7 +98,7 @@
 struct PendingRequest {
     /// `None` once it has its answer or its client is gone.
     reply: Option<oneshot::Sender<Answer>>,
-    call: Rc<Call>,
+    call: Rc<OutgoingRequest>,
     deadline: Instant,
     overdue: delay_queue::Key,
     attempts: Vec<Option<Out>>,
@@ -223,13 +223,13 @@
                         let request = txn(&pending.call);
                         tracing::warn!(request, "not answered by its deadline");
                         // What no server has seen may be asked again without harm.
-                        let (count, answer) = match pending.call.written.get() {
+                        let (count, answer) = match pending.call.was_sent.get() {
                             true => (Count::Late, Answer::Late),
                             false => (Count::RefusedUntried, Answer::Refused(None)),
                         };
                         self.servers.counts.one(count);
                         let _ = reply.send(answer);
-                        pending.call.over.set(true);
+                        pending.call.is_finished.set(true);
                         self.events.push_back(Event::Lapsed(request_id(id)));
                         // One with no attempt out ends here; nothing else would forget it.
                         self.forget(id);
@@ -273,7 +273,7 @@
     fn request(&mut self, arrival: Arrival) {
         let Arrival { id, class, tenant, key, repeat, cost, deadline, call, reply } = arrival;
         self.servers.counts.one(Count::Requests);
-        if call.over.get() {
+        if call.is_finished.get() {
             // It left while it waited here: the module never hears of it.
             return self.servers.counts.one(Count::Disconnected);
         }
@@ -310,7 +310,7 @@
                 (Answer::Late, _) => Count::Late,
             });
             let _ = reply.send(answer);
-            pending.call.over.set(true);
+            pending.call.is_finished.set(true);
         }
         self.forget(id);
     }
@@ -425,7 +425,7 @@
             Action::Subscribe => self.subscribe(),
             Action::Tell { peer, data } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(peer, &data);
+                    peers.send(peer, &data);
                 }
             }
             Action::Log(line) => tracing::info!("{line}"),
@@ -437,7 +437,7 @@
         let pending = self.pending.get_mut(&id);
         let attempt = pending.as_ref().map_or(0, |pending| pending.attempts.len());
         let lawful = pending
-            .filter(|h| h.reply.is_some() && !h.call.over.get())
+            .filter(|h| h.reply.is_some() && !h.call.is_finished.get())
             .filter(|h| attempt < self.max_attempts && now < h.deadline);
         let Some(pending) = lawful else {
             // Nothing goes out for what is over.
@@ -513,7 +513,7 @@
 }
 
 /// What the client calls a request, for the log.
-fn txn(call: &Call) -> Option<&str> {
+fn txn(call: &OutgoingRequest) -> Option<&str> {
     call.headers.get("x-txn")?.to_str().ok()
 }
 
--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -23,8 +23,8 @@
 use tokio::time::{timeout, Instant};
 use woodgap::Outcome;
 
+use crate::guards::{AbortOnDrop, SocketPermit};
 use crate::stream;
-use crate::task::{AbortOnDrop, Permit};
 use crate::witness::HEADER;
 
 /// The longest body of a request or an answer.
@@ -37,23 +37,30 @@
 const STALL: Duration = Duration::from_millis(500);
 /// A connection rests this long after an answer: what comes right behind one, a second copy or the
 /// server's close, would else be taken for the answer to the next request, or lose it.
-pub const SETTLE: Duration = Duration::from_millis(10);
+pub const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
 /// A client's request as it goes on to servers, headers of one connection left out.
-pub struct Call {
+pub struct OutgoingRequest {
     pub method: Method,
     pub target: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
     /// It has its answer, or its client is gone: nothing of it that is not written goes out.
-    pub over: Cell<bool>,
+    pub is_finished: Cell<bool>,
     /// Something of it was written to a server.
-    pub written: Cell<bool>,
+    pub was_sent: Cell<bool>,
 }
 
-impl Call {
+impl OutgoingRequest {
     pub fn new(method: Method, target: Uri, headers: HeaderMap, body: Bytes) -> Self {
-        Call { method, target, headers, body, over: Cell::new(false), written: Cell::new(false) }
+        OutgoingRequest {
+            method,
+            target,
+            headers,
+            body,
+            is_finished: Cell::new(false),
+            was_sent: Cell::new(false),
+        }
     }
 }
 
@@ -107,7 +114,7 @@
 }
 
 /// A connection to a server. Closed when dropped.
-pub struct Link {
+pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
     wire: Rc<Wire>,
     _connection: AbortOnDrop,
@@ -117,22 +124,22 @@
 }
 
 /// What a request on a connection came to.
-pub enum Exchange {
+pub enum ExchangeResult {
     /// Nothing of it was written.
     Unsent,
     /// The connection broke or no answer can come of what came; it may have run.
     Broken,
-    Answer {
+    Response {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
         /// Whether the connection may be used again.
-        reusable: bool,
+        allows_reuse: bool,
     },
 }
 
-impl Link {
-    pub async fn dial(addr: SocketAddr, epoch: u64, permit: Permit) -> io::Result<Link> {
+impl ServerConnection {
+    pub async fn dial(addr: SocketAddr, epoch: u64, permit: SocketPermit) -> io::Result<ServerConnection> {
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
         let wire = Rc::new(Wire { stream, left: Cell::new(0), heard: Cell::new(false) });
@@ -146,7 +153,7 @@
             let _permit = permit;
             let _ = connection.await;
         });
-        Ok(Link { sender, wire, _connection: connection, epoch, idle_since: Instant::now() })
+        Ok(ServerConnection { sender, wire, _connection: connection, epoch, idle_since: Instant::now() })
     }
 
     pub fn is_closed(&self) -> bool {
@@ -155,39 +162,39 @@
 
     /// Whether it is open and nothing came on it unasked. Asks the system: what the runtime knows of
     /// the socket may be older than a second copy that waits on it.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let nothing = SockRef::from(&self.wire.stream).peek(&mut byte);
         !self.is_closed() && nothing.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Whether anything came back for the request that was written last.
-    pub fn heard(&self) -> bool {
+    pub fn has_received_bytes(&self) -> bool {
         self.wire.heard.get()
     }
 
-    pub async fn ready(&mut self) -> hyper::Result<()> {
+    pub async fn wait_until_ready(&mut self) -> hyper::Result<()> {
         self.sender.ready().await
     }
 
-    pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Exchange {
+    pub async fn send_request(&mut self, request: Request<Full<Bytes>>) -> ExchangeResult {
         self.wire.left.set(LONGEST_ANSWER);
         self.wire.heard.set(false);
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
             // Only a message that comes back is certain not to have gone out.
-            Err(error) if error.message().is_some() => return Exchange::Unsent,
-            Err(_) => return Exchange::Broken,
+            Err(error) if error.message().is_some() => return ExchangeResult::Unsent,
+            Err(_) => return ExchangeResult::Broken,
         };
         let whole = whole(response).await;
         self.wire.left.set(0);
-        whole.unwrap_or(Exchange::Broken)
+        whole.unwrap_or(ExchangeResult::Broken)
     }
 }
 
 /// Reads an answer to its end, the whole body first: one that breaks half-way is still an outcome, and
 /// the client has seen nothing of it. `None` for one that can't be trusted.
-async fn whole(response: Response<Incoming>) -> Option<Exchange> {
+async fn whole(response: Response<Incoming>) -> Option<ExchangeResult> {
     let (head, mut incoming) = response.into_parts();
     let framings = [CONTENT_LENGTH, TRANSFER_ENCODING].map(|name| head.headers.contains_key(name));
     let upgraded = head.status == StatusCode::SWITCHING_PROTOCOLS;
@@ -197,7 +204,7 @@
         return None;
     }
     // Without a length its end is the connection's: an orderly one ends it, a reset is an error below.
-    let reusable = framings != [false, false] || incoming.is_end_stream();
+    let allows_reuse = framings != [false, false] || incoming.is_end_stream();
     let mut body = BytesMut::new();
     while let Some(frame) = timeout(STALL, incoming.frame()).await.ok()? {
         let Ok(data) = frame.ok()?.into_data() else { continue };
@@ -207,12 +214,12 @@
         body.extend_from_slice(&data);
     }
     let (status, headers, body) = (head.status, head.headers, body.freeze());
-    Some(Exchange::Answer { status, headers, body, reusable })
+    Some(ExchangeResult::Response { status, headers, body, allows_reuse })
 }
 
 /// The request as it goes to a server.
-pub fn request(
-    call: &Call,
+pub fn build_request(
+    call: &OutgoingRequest,
     addr: SocketAddr,
     until: Instant,
     acted_on: Option<&HeaderValue>,
@@ -237,7 +244,7 @@
 
 /// What an answer means. Only the header proves that a request was turned away unseen: 503 and
 /// 504 without it may come from a request that ran.
-pub fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+pub fn classify_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let turned_away = headers.get("x-turned-away").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
@@ -247,7 +254,7 @@
 }
 
 /// A load report, in the order of the settings; one that can't be read whole is none.
-pub fn load(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
+pub fn parse_load_report(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
     let Some(text) = headers.get("x-pressure") else { return Vec::new() };
     let report: HashMap<String, f64> = serde_json::from_slice(text.as_bytes()).unwrap_or_default();
     let sound = |value: &f64| (0.0..1e6).contains(value);
--- a/src/bin/woodgap/task.rs
+++ b/src/bin/woodgap/guards.rs
@@ -22,17 +22,17 @@
 }
 
 /// A share of the process's file descriptors.
-pub struct Budget {
+pub struct SocketBudget {
     most: usize,
     used: Cell<usize>,
 }
 
 /// One open socket; gives its place back when dropped.
-pub struct Permit(Rc<Budget>);
+pub struct SocketPermit(Rc<SocketBudget>);
 
-impl Budget {
+impl SocketBudget {
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { most, used: Cell::new(0) })
+        Rc::new(SocketBudget { most, used: Cell::new(0) })
     }
 
     pub fn is_full(&self) -> bool {
@@ -40,20 +40,20 @@
     }
 
     /// The part that is taken.
-    pub fn part(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         self.used.get() as f64 / self.most.max(1) as f64
     }
 
-    pub fn take(self: &Rc<Self>) -> Option<Permit> {
+    pub fn try_acquire(self: &Rc<Self>) -> Option<SocketPermit> {
         if self.is_full() {
             return None;
         }
         self.used.set(self.used.get() + 1);
-        Some(Permit(self.clone()))
+        Some(SocketPermit(self.clone()))
     }
 }
 
-impl Drop for Permit {
+impl Drop for SocketPermit {
     fn drop(&mut self) {
         self.0.used.set(self.0.used.get() - 1);
     }
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -4,19 +4,19 @@
 //! carries out the module's actions.
 #![forbid(unsafe_code)]
 
+mod client_connection;
 mod clients;
 mod cold;
-mod conn;
 mod counts;
 mod discovery;
 mod driver;
 mod exchange;
+mod guards;
 mod log;
 mod peers;
 mod request;
 mod servers;
 mod stream;
-mod task;
 mod witness;
 
 use std::error::Error;
@@ -30,9 +30,9 @@
 
 use clients::Clients;
 use driver::{Driver, Msg};
+use guards::SocketBudget;
 use peers::Peers;
 use servers::Servers;
-use task::Budget;
 use witness::Witness;
 use woodgap::config::{self, Config, OVERFLOW, OWN_DESCRIPTORS};
 
@@ -54,7 +54,7 @@
     };
     let (tx, rx) = mpsc::unbounded_channel();
     let all = config.sockets.saturating_sub(OWN_DESCRIPTORS + OVERFLOW).max(2);
-    let servers = Servers::new(config.figures.clone(), Budget::new(all));
+    let servers = Servers::new(config.figures.clone(), SocketBudget::new(all));
     let witness = config.audit.then(|| Witness::new(&config.name));
     let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
     let mut driver = Driver::new(&config, servers.clone(), peers.clone(), witness.clone(), tx.clone());
@@ -64,7 +64,7 @@
         config.names,
         config.figures.open_cap.min((config.memory / HELD_BYTES).max(1)),
         servers,
-        (Budget::new((all as f64 * CLIENTS) as usize), Budget::new(OVERFLOW)),
+        (SocketBudget::new((all as f64 * CLIENTS) as usize), SocketBudget::new(OVERFLOW)),
         witness.clone(),
         tx.clone(),
     );
@@ -75,7 +75,7 @@
         let tx = tx.clone();
         spawn_local(async move {
             loop {
-                let (from, data) = peers.next().await;
+                let (from, data) = peers.receive().await;
                 let _ = tx.send(Msg::Peer { from, data });
             }
         });
--- a/src/bin/woodgap/peers.rs
+++ b/src/bin/woodgap/peers.rs
@@ -25,7 +25,7 @@
     }
 
     /// Sends to one node or to all. A datagram that can't go out now is lost, as it may be anyway.
-    pub fn tell(&self, peer: Option<u32>, data: &[u8]) {
+    pub fn send(&self, peer: Option<u32>, data: &[u8]) {
         let to = match peer {
             Some(peer) => self.peers.get(peer as usize).copied(),
             None => self.all,
@@ -36,7 +36,7 @@
     }
 
     /// The next datagram of a known node that is no longer than allowed; others are dropped.
-    pub async fn next(&self) -> (u32, Vec<u8>) {
+    pub async fn receive(&self) -> (u32, Vec<u8>) {
         let mut buffer = [0; LONGEST + 1];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
@@ -66,6 +66,6 @@
         stranger.send_to(b"x", to).await.unwrap();
         known.send_to(&[7; LONGEST + 1], to).await.unwrap();
         known.send_to(&[8; LONGEST], to).await.unwrap();
-        assert_eq!(node.next().await, (0, vec![8; LONGEST]));
+        assert_eq!(node.receive().await, (0, vec![8; LONGEST]));
     }
 }
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -18,8 +18,11 @@
 
 use crate::cold::{ColdSends, Start};
 use crate::counts::{Count, Counts};
-use crate::exchange::{load, outcome, request, Call, Exchange, Link, SETTLE};
-use crate::task::{Budget, Permit};
+use crate::exchange::{
+    build_request, classify_response, parse_load_report, ExchangeResult, OutgoingRequest, ServerConnection,
+    MIN_IDLE_BEFORE_REUSE,
+};
+use crate::guards::{SocketBudget, SocketPermit};
 
 /// Connections are reused for this part of the time that servers keep them: a request that meets
 /// the server's close on its way ends as a reset, and an unsafe one can't be sent again.
@@ -46,7 +49,7 @@
     /// lead to a process that is gone and are not used.
     epoch: u64,
     /// The most recently used last.
-    idle: Vec<Link>,
+    idle: Vec<ServerConnection>,
     size: f64,
     /// It wants nothing new.
     draining: bool,
@@ -57,7 +60,7 @@
 /// All servers on the list.
 pub struct Servers {
     figures: Figures,
-    budget: Rc<Budget>,
+    budget: Rc<SocketBudget>,
     entries: RefCell<HashMap<ServerId, Entry>>,
     names: RefCell<HashMap<u32, String>>,
     epochs: Cell<u64>,
@@ -68,7 +71,7 @@
 }
 
 impl Servers {
-    pub fn new(figures: Figures, budget: Rc<Budget>) -> Rc<Self> {
+    pub fn new(figures: Figures, budget: Rc<SocketBudget>) -> Rc<Self> {
         Rc::new(Servers {
             budget,
             entries: RefCell::default(),
@@ -204,13 +207,15 @@
     }
 
     /// The connection used last of those that have rested and nothing came on.
-    fn idle_link(&self, server: ServerId) -> Option<Link> {
+    fn idle_link(&self, server: ServerId) -> Option<ServerConnection> {
         let longest = self.figures.keepalive.mul_f64(REUSE);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
-        while let Some(place) = entry.idle.iter().rposition(|link| link.idle_since.elapsed() >= SETTLE) {
+        while let Some(place) =
+            entry.idle.iter().rposition(|link| link.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
+        {
             let link = entry.idle.remove(place);
-            if link.is_clean() && link.idle_since.elapsed() < longest {
+            if link.is_reusable() && link.idle_since.elapsed() < longest {
                 self.counts.one(Count::Reused);
                 return Some(link);
             }
@@ -219,7 +224,7 @@
         None
     }
 
-    fn keep(&self, server: ServerId, mut link: Link) {
+    fn keep(&self, server: ServerId, mut link: ServerConnection) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&server) else { return };
         let wanted = !entry.draining && !entry.replaced;
@@ -230,9 +235,9 @@
     }
 
     /// A place for one more socket, at the cost of an idle connection where all are taken.
-    pub async fn permit(&self) -> Option<Permit> {
+    pub async fn permit(&self) -> Option<SocketPermit> {
         loop {
-            if let Some(permit) = self.budget.take() {
+            if let Some(permit) = self.budget.try_acquire() {
                 return Some(permit);
             }
             if !self.evict() {
@@ -243,13 +248,13 @@
         }
     }
 
-    async fn dial(&self, addr: SocketAddr, epoch: u64) -> io::Result<Link> {
+    async fn dial(&self, addr: SocketAddr, epoch: u64) -> io::Result<ServerConnection> {
         let Some(permit) = self.permit().await else {
             self.counts.one(Count::NoSocket);
             return Err(io::Error::other("no socket is free"));
         };
         self.counts.one(Count::Dialled);
-        Link::dial(addr, epoch, permit).await.inspect_err(|_| self.counts.one(Count::DialRefused))
+        ServerConnection::dial(addr, epoch, permit).await.inspect_err(|_| self.counts.one(Count::DialRefused))
     }
 
     // Attempts.
@@ -259,7 +264,7 @@
     pub async fn attempt(
         &self,
         server: ServerId,
-        call: &Call,
+        call: &OutgoingRequest,
         until: Instant,
         begin_by: Instant,
         acted_on: Option<&HeaderValue>,
@@ -284,14 +289,14 @@
                     }
                 }
             };
-            if !matches!(timeout_at(until, link.ready()).await, Ok(Ok(()))) {
+            if !matches!(timeout_at(until, link.wait_until_ready()).await, Ok(Ok(()))) {
                 if reused {
                     continue;
                 }
                 return Outcome::ConnectFailed.into();
             }
             // Its client may have gone meanwhile, or its time to begin may be over.
-            if call.over.get() || (begin_by < until && Instant::now() >= begin_by) {
+            if call.is_finished.get() || (begin_by < until && Instant::now() >= begin_by) {
                 self.keep(server, link);
                 return Outcome::Moot.into();
             }
@@ -304,27 +309,27 @@
                     return Outcome::ConnectFailed.into();
                 }
             }
-            call.written.set(true);
+            call.was_sent.set(true);
             self.note_cold(server);
-            match timeout_at(until, link.exchange(request(call, addr, until, acted_on))).await {
+            match timeout_at(until, link.send_request(build_request(call, addr, until, acted_on))).await {
                 // One that began to answer is there; only the answer is no good.
-                Err(_) if link.heard() => return Outcome::Error.into(),
+                Err(_) if link.has_received_bytes() => return Outcome::Error.into(),
                 // A server that answered nothing may be gone: its idle connections would swallow
                 // what is sent next, where a new one would tell.
                 Err(_) => {
                     self.close_idle(server);
                     return Outcome::Timeout.into();
                 }
-                Ok(Exchange::Unsent) if reused => continue,
-                Ok(Exchange::Unsent) => return Outcome::ConnectFailed.into(),
-                Ok(Exchange::Broken) if link.heard() => return Outcome::Error.into(),
-                Ok(Exchange::Broken) => return Outcome::Reset.into(),
-                Ok(Exchange::Answer { status, headers, body, reusable }) => {
-                    if reusable {
+                Ok(ExchangeResult::Unsent) if reused => continue,
+                Ok(ExchangeResult::Unsent) => return Outcome::ConnectFailed.into(),
+                Ok(ExchangeResult::Broken) if link.has_received_bytes() => return Outcome::Error.into(),
+                Ok(ExchangeResult::Broken) => return Outcome::Reset.into(),
+                Ok(ExchangeResult::Response { status, headers, body, allows_reuse }) => {
+                    if allows_reuse {
                         self.keep(server, link);
                     }
-                    let load = load(&headers, &self.figures.report);
-                    let outcome = outcome(status, &headers);
+                    let load = parse_load_report(&headers, &self.figures.report);
+                    let outcome = classify_response(status, &headers);
                     let answer = (outcome == Outcome::Ok).then_some((headers, body));
                     return Ended { outcome, load, answer };
                 }
@@ -354,7 +359,7 @@
     /// Probes a server.
     pub async fn probe(&self, server: ServerId) -> Ended {
         let target = Uri::from_static("/-/healthy");
-        let call = Call::new(Method::GET, target, HeaderMap::new(), Bytes::new());
+        let call = OutgoingRequest::new(Method::GET, target, HeaderMap::new(), Bytes::new());
         self.counts.one(Count::Probes);
         // A probe waits like a request, but not like a patient one.
         let until = Instant::now() + self.figures.dial_timeout * 2;
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -13,7 +13,7 @@
         report: vec!["queue".into(), "util".into()],
         ramp: Default::default(),
     };
-    Servers::new(figures, Budget::new(sockets))
+    Servers::new(figures, SocketBudget::new(sockets))
 }
 
 fn list(addr: SocketAddr, state: ServerState, complete: bool) -> List {
@@ -22,8 +22,8 @@
     List { revision: None, complete, entries: vec![entry] }
 }
 
-fn call() -> Call {
-    Call::new(Method::POST, Uri::from_static("/api"), HeaderMap::new(), Bytes::new())
+fn call() -> OutgoingRequest {
+    OutgoingRequest::new(Method::POST, Uri::from_static("/api"), HeaderMap::new(), Bytes::new())
 }
 
 /// A server that answers each request with its name, and sends none if that is empty.
@@ -48,7 +48,7 @@
     addr
 }
 
-async fn attempt(servers: &Servers, server: ServerId, call: &Call, until: Instant) -> Ended {
+async fn attempt(servers: &Servers, server: ServerId, call: &OutgoingRequest, until: Instant) -> Ended {
     servers.attempt(server, call, until, until, None).await
 }
 
@@ -66,7 +66,7 @@
         let (_, members) = servers.apply(&list(old, ServerState::InService, true));
         let server = members[0].server;
         assert_eq!(attempt(&servers, server, &call(), soon()).await.answer.unwrap().1, "old");
-        tokio::time::sleep(SETTLE * 2).await;
+        tokio::time::sleep(MIN_IDLE_BEFORE_REUSE * 2).await;
         let link = servers.idle_link(server).expect("kept");
         servers.apply(&list(old, ServerState::Terminated, false));
         assert_eq!(attempt(&servers, server, &call(), soon()).await.outcome, Outcome::ConnectFailed);
@@ -186,10 +186,10 @@
             async move { attempt(&servers, server, &call, soon()).await.outcome }
         });
         tokio::task::yield_now().await;
-        call.over.set(true);
+        call.is_finished.set(true);
         let heard = listen(queued, listener);
         assert_eq!(waiting.await.unwrap(), Outcome::Moot);
-        assert!(!call.written.get());
+        assert!(!call.was_sent.get());
         tokio::time::sleep(Duration::from_millis(50)).await;
         assert!(!heard.is_finished(), "something was written");
     };
@@ -208,12 +208,12 @@
         let call = call();
         let ended = servers.attempt(server, &call, soon(), begin_by, None).await;
         assert_eq!(ended.outcome, Outcome::Moot);
-        assert!(!call.written.get());
+        assert!(!call.was_sent.get());
         // The same on a connection that is there.
         let addr = named("x").await;
         let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
         let ended = servers.attempt(server, &call, soon(), Instant::now(), None).await;
-        assert_eq!((ended.outcome, call.written.get()), (Outcome::Moot, false));
+        assert_eq!((ended.outcome, call.was_sent.get()), (Outcome::Moot, false));
     };
     LocalSet::new().run_until(run).await;
 }
@@ -239,7 +239,7 @@
             });
             let heard = listen(queued, listener);
             assert_eq!(waiting.await.unwrap(), Outcome::ConnectFailed);
-            assert!(!call.written.get(), "{change}");
+            assert!(!call.was_sent.get(), "{change}");
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(!heard.is_finished(), "something was written: {change}");
         };
--- a/src/bin/woodgap/witness.rs
+++ b/src/bin/woodgap/witness.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use crate::task::AbortOnDrop;
+use crate::guards::AbortOnDrop;
 
 /// The header of an attempt: the node's name, its process and the revision.
 pub const HEADER: &str = "x-acted-on";
