--- a/benches/core.rs
+++ b/benches/core.rs
@@ -10,7 +10,7 @@
 
 use criterion::{BenchmarkId, Criterion};
 use serde_json::Value;
-use woodgap::brain::TABLE_SLOTS;
+use woodgap::policy::TABLE_SLOTS;
 use woodgap::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -37,7 +37,7 @@
         cell: CellId(u64::from(n / 8)),
         state,
         size: [1.0, 1.5, 0.6][n as usize % 3],
-        since: 0,
+        started_at: 0,
     }
 }
 
@@ -49,7 +49,7 @@
             points: 1.0,
             late_share: 0.0,
             semantics,
-            in_order: false,
+            is_serial_by_key: false,
         };
         let settings = Settings {
             group_size: nodes,
@@ -61,13 +61,13 @@
             ],
             weight_source: WeightSource::Nominal,
             worth_by: WorthBy::Work,
-            warm_keys: true,
-            cancelling: true,
+            servers_cache_keys: true,
+            can_cancel: true,
             max_attempts: 4,
-            retry_after: true,
+            sends_retry_after: true,
             start_capacity: 0.3,
             ramp_time: 9_000_000,
-            fall_multiple: 3.0,
+            cold_overload_multiple: 3.0,
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, 1);
@@ -97,31 +97,31 @@
         let key = drawn % if self.next.is_multiple_of(2) { KEYS / 20 } else { KEYS };
         self.event(Event::Request(Request {
             id,
-            patience: 1_000_000,
+            time_left: 1_000_000,
             class: ClassId((self.next % 4) as usize),
             cost: None,
-            repeat: false,
+            is_client_retry: false,
             tenant: None,
             key: Some(Key(key)),
         }));
         let Some(&Action::Send { server, .. }) = self.out.first() else {
             panic!("a calm node sends each request: {:?}", self.out);
         };
-        let closed = Closed {
+        let closed = AttemptEnd {
             id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            spent: 40_000,
-            done: true,
-            load: Vec::new(),
+            elapsed: 40_000,
+            is_request_done: true,
+            load_report: Vec::new(),
         };
-        self.event(Event::Closed(closed));
+        self.event(Event::AttemptEnded(closed));
     }
 
     fn sweep(&mut self) {
         self.now += 100_000;
-        self.event(Event::Timer(TimerId(1)));
+        self.event(Event::TimerExpired(TimerId(1)));
     }
 
     /// One server drains or comes back; the request is the first to need the new table.
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -7,9 +7,9 @@
 use anyhow::Context;
 use serde::Serialize;
 use serde_json::Value;
-use woodgap::brain::{build_table, TABLE_SLOTS};
 use woodgap::findings::Findings;
 use woodgap::list::{server_number, List};
+use woodgap::policy::{build_table, TABLE_SLOTS};
 use woodgap::{ServerId, ServerState};
 
 use crate::args::Table as Request;
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,32 +1,32 @@
-//! The interface of the decision module: what a host tells it and what it answers.
+//! The interface of the policy: the events that a host feeds it and the actions that it returns.
 //!
-//! All times are microseconds. The clock may begin anywhere; it never runs backwards (an earlier
-//! time than the last one seen is taken as the last one seen).
+//! All times are in microseconds. The clock may start at any value and must not run backwards: a time
+//! earlier than the latest one seen is replaced by the latest one seen.
 //!
-//! Uses that make no sense are ignored, never a panic: an outcome for an attempt that was never
-//! made, an event for a request that is unknown or has ended, a class or tenant number outside
-//! the settings (the request is refused), a second request under an id still held.
+//! Invalid input never panics. These events are ignored: the end of an attempt that was never sent, an event
+//! for a request that is unknown or has ended, a second request under an id that is still in use. A request
+//! whose class is not in the settings is refused; a tenant that is not in the settings has no quota.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A server, as discovery names it. Stable over restarts of its process.
+/// A server's id in discovery. It stays the same when the server's process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A request, opaque to the module. Shorter ids are padded by the host.
+/// A request's id, opaque to the policy. The host pads shorter ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
-/// The subject of a request: requests with one key go together. Below 2^53.
+/// A request's routing key, below 2^53: requests with the same key go to the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
@@ -34,148 +34,150 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A cell: servers that share their knowledge of the keys they met.
+/// A cell: a group of servers that share what they have cached for each key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// Number of a timer, chosen by the module.
+/// A timer's id, chosen by the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Which servers drop a repeat of a keyed request.
+/// The servers that drop a repeat of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyScope {
+pub enum DedupScope {
     /// Every server.
     All,
-    /// Those of the zone it was first sent to.
+    /// The servers in the zone of the first attempt.
     Zone,
-    /// Those of the cell it was first sent to.
+    /// The servers in the cell of the first attempt.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// Safe to repeat at will.
+    /// May be repeated without limit.
     Safe,
-    /// Repeats are dropped inside `scope` for `ttl` from the first send that may have run.
-    Keyed {
+    /// Carries an idempotency key (`keyed` in the settings): the servers in `scope` drop repeats for `ttl`,
+    /// counted from the first attempt that may have run.
+    Deduplicated {
         /// The servers that drop repeats.
-        scope: KeyScope,
-        /// For how long they do.
+        scope: DedupScope,
+        /// How long they drop them.
         ttl: Micros,
     },
-    /// Must never run twice.
+    /// Must not run twice.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns full worth.
+    /// Latency target: an answer within this time earns the request's full worth.
     pub aim: Micros,
-    /// A client's whole wait, over all of its tries.
+    /// How long a client waits in all, over all of its tries.
     pub deadline: Micros,
     /// Worth of a request, or of a unit of its work (see [`WorthBy`]).
     pub points: f64,
-    /// Part of the worth that a late answer still earns.
+    /// Fraction of the worth that an answer after the aim still earns.
     pub late_share: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may run more than once.
     pub semantics: Semantics,
-    /// Requests of such classes that share a key run one at a time, in the order they came.
-    pub in_order: bool,
+    /// Requests of such classes that share a key run one at a time, in the order of their arrival.
+    pub is_serial_by_key: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all nodes; 0 means no limit.
+    /// Requests per second that are within the quota, over all nodes; 0 means no limit.
     pub quota_per_s: f64,
 }
 
-/// What the `size` of a server means.
+/// What [`Member::size`] means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// It is always 1.
+    /// The size is ignored: every server counts as 1.
     #[default]
     Off,
     /// The registered size.
     Nominal,
-    /// About the registered size.
+    /// An approximation of the registered size.
     Rough,
-    /// The size divided by a load of some time ago; it varies from list to list.
+    /// The size divided by an earlier load of the server; it differs from list to list.
     Live,
 }
 
-/// What worth is counted by.
+/// The unit that earns [`Class::points`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorthBy {
-    /// Each request alike.
+    /// Each request.
     #[default]
     Request,
     /// Each unit of work.
     Work,
 }
 
-/// How a node comes by the server list.
+/// How a node gets the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Discovery {
-    /// Changes come unasked.
+pub enum DiscoveryMode {
+    /// Changes arrive without a subscription.
     #[default]
     Push,
-    /// Changes come to subscribers only.
-    Ask,
+    /// Changes arrive only while the node is subscribed.
+    Subscribe,
 }
 
-/// What a node is told at its start. Begin from [`Settings::default`] and set what is known.
+/// A node's settings. Start from [`Settings::default`] and set what is known.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many nodes there are, this one included.
+    /// Number of nodes, this one included.
     pub group_size: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
-    /// What worth is counted by.
+    /// Worth of a request beyond its tenant's quota, as a fraction of its normal worth.
+    pub over_quota_worth: f64,
+    /// The unit that earns points.
     pub worth_by: WorthBy,
-    /// What `size` means.
+    /// What a server's size means.
     pub weight_source: WeightSource,
-    /// How the list arrives.
-    pub discovery: Discovery,
-    /// A server that met a key lately does less work for it.
-    pub warm_keys: bool,
+    /// How the server list arrives.
+    pub discovery_mode: DiscoveryMode,
+    /// Servers cache per key: a request costs less work on a server that served its key recently.
+    pub servers_cache_keys: bool,
     /// Attempts may be cancelled.
-    pub cancelling: bool,
+    pub can_cancel: bool,
     /// Servers may be probed.
-    pub may_probe: bool,
-    /// Two attempts of a request may be out together.
-    pub second_copies: bool,
-    /// Most attempts for a request.
+    pub can_probe: bool,
+    /// Two attempts of a request may be in flight at the same time.
+    pub allows_concurrent_attempts: bool,
+    /// Most attempts of a request.
     pub max_attempts: u32,
-    /// Clients are told how long to keep away.
-    pub retry_after: bool,
-    /// The longest such advice that clients heed.
+    /// Refusals tell clients how long to wait before they try again.
+    pub sends_retry_after: bool,
+    /// The longest such wait that clients respect.
     pub max_retry_after: Micros,
-    /// Points taken off for a new connection per first try.
-    pub handshake_price: f64,
-    /// Points taken off for a hundred open connections a server.
-    pub connection_price: f64,
-    /// Capacity of a server at its start, as a part of its full one.
+    /// Points deducted for one new connection per first attempt.
+    pub handshake_deduction: f64,
+    /// Points deducted for a hundred open connections per server.
+    pub connection_deduction: f64,
+    /// Capacity of a server that has just started, as a fraction of its full capacity.
     pub start_capacity: f64,
-    /// It is warm after this time.
+    /// How long a started server takes to reach its full capacity; until then it is cold.
     pub ramp_time: Micros,
-    /// Sent more than this multiple of its present capacity, a cold server falls over.
-    pub fall_multiple: f64,
-    /// Longest time without a subscription and without asking for one.
-    pub ask_within: Micros,
-    /// A key of an in-order class rests this long after an attempt that may still be running.
-    pub settle_after_doubt: Micros,
-    /// [`Outcome::Full`] does not prove that the attempt never ran.
+    /// A cold server breaks down when it is sent more than this multiple of its present capacity.
+    pub cold_overload_multiple: f64,
+    /// Longest time that a node may be without a subscription and without a request for one.
+    pub max_unsubscribed_time: Micros,
+    /// No request of a serial class is sent for a key for this long after an attempt for that key that may
+    /// still be running.
+    pub serial_key_cooldown: Micros,
+    /// A server may answer [`Outcome::Full`] for an attempt that has run.
     pub full_may_have_run: bool,
-    /// Place of the part of its cores in use in a server's load report.
-    pub util_field: Option<usize>,
+    /// Index of the fraction of the cores in use within a server's load report.
+    pub utilization_index: Option<usize>,
 }
 
 impl Default for Settings {
@@ -184,205 +186,207 @@
             group_size: 1,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_worth: 1.0,
             worth_by: WorthBy::Request,
             weight_source: WeightSource::Off,
-            discovery: Discovery::Push,
-            warm_keys: false,
-            cancelling: false,
-            may_probe: false,
-            second_copies: false,
+            discovery_mode: DiscoveryMode::Push,
+            servers_cache_keys: false,
+            can_cancel: false,
+            can_probe: false,
+            allows_concurrent_attempts: false,
             max_attempts: 1,
-            retry_after: false,
+            sends_retry_after: false,
             max_retry_after: 0,
-            handshake_price: 0.0,
-            connection_price: 0.0,
+            handshake_deduction: 0.0,
+            connection_deduction: 0.0,
             start_capacity: 1.0,
             ramp_time: 0,
-            fall_multiple: 1.0,
-            ask_within: 10_000_000,
-            settle_after_doubt: 0,
+            cold_overload_multiple: 1.0,
+            max_unsubscribed_time: 10_000_000,
+            serial_key_cooldown: 0,
             full_may_have_run: false,
-            util_field: None,
+            utilization_index: None,
         }
     }
 }
 
-/// What discovery says of a server.
+/// A server's state in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Its process runs.
+    /// The process is running and takes requests.
     InService,
-    /// It completes its work and takes nothing new.
+    /// The process is draining: it completes its requests and takes no new ones.
     Terminating,
-    /// It was taken away.
+    /// The server was removed.
     Terminated,
 }
 
-/// A server on a list.
+/// A server on the list.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Which server.
+    /// The server's id.
     pub server: ServerId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The server's cell.
     pub cell: CellId,
-    /// Its state.
+    /// The server's state.
     pub state: ServerState,
-    /// Its weight against other servers.
+    /// The server's weight relative to other servers.
     pub size: f64,
-    /// When its process last started; 0 is long ago.
-    pub since: Micros,
+    /// When the server's process last started; 0 means long ago.
+    pub started_at: Micros,
 }
 
-/// What a list event brings.
+/// What a [`Event::Sync`] contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncKind {
     /// The entries that changed.
     Delta,
     /// The complete list.
     Full,
-    /// The list this node last held, perhaps long ago.
+    /// The list that this node last had, which may be long out of date.
     Cached,
-    /// A call failed or the subscription broke; the old list stands.
+    /// Nothing: a call failed or the subscription broke. The known list stays in use.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, never used twice.
+    /// The request's id, never used twice.
     pub id: RequestId,
-    /// Time left before the client gives up.
-    pub patience: Micros,
-    /// Its class.
+    /// Time left until the client gives up.
+    pub time_left: Micros,
+    /// The request's class.
     pub class: ClassId,
-    /// Expected work, where known.
+    /// Expected work, if known.
     pub cost: Option<Micros>,
-    /// The client marks it as a repeat.
-    pub repeat: bool,
-    /// Its tenant, where there are tenants.
+    /// The client marks the request as a retry of an earlier one.
+    pub is_client_retry: bool,
+    /// The request's tenant, if the site has tenants.
     pub tenant: Option<TenantId>,
-    /// Its subject.
+    /// The request's routing key, if it has one.
     pub key: Option<Key>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen (but see [`Settings::full_may_have_run`]).
+    /// The server rejected the attempt because it is full; the attempt did not run, unless
+    /// [`Settings::full_may_have_run`] is set.
     Full,
-    /// No answer in time; it may run yet.
+    /// No answer arrived in time; the attempt may still be running.
     Timeout,
-    /// No connection was made.
+    /// No connection was made; the attempt did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Closed {
+pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// The attempt's number within the request, from 0.
     pub attempt: u32,
-    /// The server.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
-    pub spent: Micros,
-    /// The request has ended; nothing more is owed.
-    pub done: bool,
-    /// The server's load report, in the order of the wire; [`Settings::util_field`] is read.
-    pub load: Vec<f64>,
+    /// Time since the attempt was sent.
+    pub elapsed: Micros,
+    /// The request has ended: no final answer is due any more.
+    pub is_request_done: bool,
+    /// The server's load report, its fields in the order of the wire; the policy reads the field at
+    /// [`Settings::utilization_index`].
+    pub load_report: Vec<f64>,
 }
 
-/// What a node learns.
+/// An event that a host feeds to the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the servers. The first one, of kind [`SyncKind::Cached`], starts the node.
+    /// A server list or a change of it. The first one, of kind [`SyncKind::Cached`], starts the node.
     Sync {
-        /// What it brings.
+        /// What `members` contains.
         kind: SyncKind,
         /// The entries.
         members: Vec<Member>,
     },
-    /// A request came in; one final answer is owed for it.
+    /// A request arrived. The policy owes it exactly one final answer, unless the request ends first.
     Request(Request),
-    /// An attempt ended. Each [`Action::Send`] gets exactly one.
-    Closed(Closed),
-    /// A streamed answer began: the attempt belongs to the client now.
-    Started {
+    /// An attempt ended. Each [`Action::Send`] is followed by exactly one such event.
+    AttemptEnded(AttemptEnd),
+    /// The host began to stream the attempt's answer to the client; no other attempt can answer the request.
+    ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// The attempt's number.
         attempt: u32,
     },
-    /// The request has ended without us.
-    Lapsed(RequestId),
+    /// The request ended without a final answer from the policy, for example because its client disconnected.
+    RequestEnded(RequestId),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent.
-        spent: Micros,
+        /// Time since the probe was sent.
+        elapsed: Micros,
         /// The server's load report.
-        load: Vec<f64>,
+        load_report: Vec<f64>,
     },
-    /// A timer fell due.
-    Timer(TimerId),
-    /// A message from another node.
-    Peer {
+    /// A timer expired.
+    TimerExpired(TimerId),
+    /// A message from another node arrived.
+    PeerMessage {
         /// The sender.
         from: u32,
-        /// What it says.
+        /// The message.
         data: Vec<u8>,
     },
 }
 
-/// What a node does. Carried out in order.
+/// An action that the host carries out. Actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; those of a request are numbered from 0 in this order.
+    /// Send an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server to send the attempt to.
         server: ServerId,
-        /// Its time-out.
-        limit: Micros,
-        /// It must be on its way within this time or not go out at all: a keyed repeat past its window may run
-        /// twice.
-        begin_within: Option<Micros>,
+        /// The attempt's timeout.
+        timeout: Micros,
+        /// If set, the attempt must be sent within this time or not at all: a deduplicated repeat that is
+        /// sent after the servers' time to live may run twice.
+        send_within: Option<Micros>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The number of the attempt.
+        /// The attempt's number.
         attempt: u32,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Final answer: the request is refused, and the client may safely send it again.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client ought to keep away; 0 is no advice.
+        /// How long the client should wait before it tries again; 0 means that it is not told.
         retry_after: Micros,
     },
-    /// Final answer: failed, which promises nothing.
+    /// Final answer: the request failed and may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -390,23 +394,23 @@
     /// Probe a server.
     Probe(ServerId),
     /// Close the idle connections to a server.
-    CloseIdle(ServerId),
-    /// Wake the module after this time, in the first batch at or past it.
+    CloseIdleConnections(ServerId),
+    /// Send [`Event::TimerExpired`] after this time, in the first batch of events at or after it.
     SetTimer {
-        /// From now.
+        /// Time from now.
         delay: Micros,
-        /// Comes back with the event.
+        /// The id that the event returns.
         timer: TimerId,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the server list.
     Subscribe,
-    /// Send bytes to one node, or to all with `None`.
-    Tell {
-        /// Which node.
+    /// Send a message to another node.
+    SendMessage {
+        /// The receiver; `None` means all nodes.
         peer: Option<u32>,
-        /// The bytes, 256 at most.
+        /// The message, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -7,7 +7,7 @@
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use woodgap::{
-    Action, CellId, ClassId, Closed, Event, Key, Member, Outcome, Request, RequestId, ServerId, SyncKind,
+    Action, AttemptEnd, CellId, ClassId, Event, Key, Member, Outcome, Request, RequestId, ServerId, SyncKind,
     TenantId, TimerId,
 };
 
@@ -100,7 +100,7 @@
     let size = f.part("size")?.map_or(Ok(1.0), |text| finite(text, "size"))?;
     let since = f.optional("since")?.unwrap_or(0);
     f.end()?;
-    Ok(Member { server, zone, cell, state, size, since })
+    Ok(Member { server, zone, cell, state, size, started_at: since })
 }
 
 fn outcome(text: &str) -> Result<Outcome, Fault> {
@@ -126,31 +126,31 @@
 ) -> Result<Event, Fault> {
     Ok(match word {
         "QUERY" => Event::Request(request(f, names)?),
-        "CLOSED_ATTEMPT" => Event::Closed(Closed {
+        "CLOSED_ATTEMPT" => Event::AttemptEnded(AttemptEnd {
             id: f.request()?,
             attempt: f.number("n")?,
             server: ServerId(f.number("server")?),
             outcome: outcome(f.text("reason")?)?,
-            spent: f.optional("spent")?.unwrap_or(0),
-            done: f.flag("done-flag")?,
-            load: f.load()?,
+            elapsed: f.optional("spent")?.unwrap_or(0),
+            is_request_done: f.flag("done-flag")?,
+            load_report: f.load()?,
         }),
-        "TIMEOUT_FIRED" => Event::Timer(TimerId(f.number("ctx")?)),
-        "LAPSED" => Event::Lapsed(f.request()?),
+        "TIMEOUT_FIRED" => Event::TimerExpired(TimerId(f.number("ctx")?)),
+        "LAPSED" => Event::RequestEnded(f.request()?),
         "SYNC" => sync(f, pools)?,
-        "STATUS_BACK" => Event::Probed {
+        "STATUS_BACK" => Event::ProbeEnded {
             server: ServerId(f.number("server")?),
             outcome: outcome(f.text("reason")?)?,
-            spent: f.optional("spent")?.unwrap_or(0),
-            load: f.load()?,
+            elapsed: f.optional("spent")?.unwrap_or(0),
+            load_report: f.load()?,
         },
         "STARTED" => {
             let (id, attempt) = (f.request()?, f.number("n")?);
             let _: u32 = f.number("server")?;
             let _: Option<u64> = f.optional("spent")?;
-            Event::Started { id, attempt }
+            Event::ResponseStarted { id, attempt }
         }
-        "MAIL" => Event::Peer { from: f.number("origin-peer")?, data: bytes(f)? },
+        "MAIL" => Event::PeerMessage { from: f.number("origin-peer")?, data: bytes(f)? },
         other => return Err(Fault::new(format!("unknown message '{other}'"))),
     })
 }
@@ -176,7 +176,7 @@
         ),
     };
     let key = f.optional("resource")?.map(Key);
-    Ok(Request { id, patience, class, cost, repeat, tenant, key })
+    Ok(Request { id, time_left: patience, class, cost, is_client_retry: repeat, tenant, key })
 }
 
 fn sync(f: &mut Fields<'_>, pools: &HashMap<u64, Rc<Vec<Member>>>) -> Result<Event, Fault> {
@@ -210,17 +210,17 @@
 /// An action, as its line.
 pub fn write_action<W: Write>(out: &mut W, action: &Action) -> io::Result<()> {
     match action {
-        Action::Send { id, server, limit, .. } => {
-            writeln!(out, "DELIVER {} {} {limit}", text(id), server.0)
+        Action::Send { id, server, timeout, .. } => {
+            writeln!(out, "DELIVER {} {} {timeout}", text(id), server.0)
         }
         Action::Cancel { id, attempt } => writeln!(out, "CALL_OFF {} {attempt}", text(id)),
         Action::Refuse { id, retry_after } => writeln!(out, "DECLINE {} {retry_after}", text(id)),
         Action::Fail { id } => writeln!(out, "GIVE_UP {}", text(id)),
         Action::Probe(server) => writeln!(out, "INSPECT {}", server.0),
-        Action::CloseIdle(server) => writeln!(out, "FREE_LINKS {}", server.0),
+        Action::CloseIdleConnections(server) => writeln!(out, "FREE_LINKS {}", server.0),
         Action::SetTimer { delay, timer } => writeln!(out, "SET_ALARM {delay} {}", timer.0),
         Action::Subscribe => writeln!(out, "STREAM_CHANGES 1"),
-        Action::Tell { peer, data } => {
+        Action::SendMessage { peer, data } => {
             let peer = peer.map_or(-1, i64::from);
             let data = if data.is_empty() { "-".into() } else { STANDARD.encode(data) };
             writeln!(out, "SAY {peer} {data}")
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -369,7 +369,7 @@
     fn refusal(&self, wait: Option<Duration>) -> Response<Full<Bytes>> {
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
         let advice =
-            wait.filter(|_| self.settings.retry_after).map(|wait| format!("{:.3}", wait.as_secs_f64()));
+            wait.filter(|_| self.settings.sends_retry_after).map(|wait| format!("{:.3}", wait.as_secs_f64()));
         if let Some(value) = advice.and_then(|text| HeaderValue::from_str(&text).ok()) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
         }
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -14,8 +14,8 @@
 use woodgap::config::Config;
 use woodgap::list::List;
 use woodgap::{
-    Action, Balancer, ClassId, Closed, Discovery, Event, Key, Micros, Outcome, Request, RequestId, ServerId,
-    SyncKind, TenantId, TimerId,
+    Action, AttemptEnd, Balancer, ClassId, DiscoveryMode, Event, Key, Micros, Outcome, Request, RequestId,
+    ServerId, SyncKind, TenantId, TimerId,
 };
 
 use crate::counts::Count;
@@ -123,7 +123,7 @@
     servers: Rc<Servers>,
     peers: Option<Rc<Peers>>,
     discovery: SocketAddr,
-    mode: Discovery,
+    mode: DiscoveryMode,
     max_attempts: usize,
     revision: u64,
     /// The number of the present watch, and its task.
@@ -167,7 +167,7 @@
             servers,
             peers,
             discovery: config.discovery,
-            mode: config.settings.discovery,
+            mode: config.settings.discovery_mode,
             max_attempts: config.settings.max_attempts as usize,
             revision: 0,
             watch: 0,
@@ -184,7 +184,7 @@
         let (_, members) = self.servers.apply(known);
         self.events.push_back(Event::Sync { kind: SyncKind::Cached, members });
         self.due.insert(Due::Tidy, TIDY);
-        if self.mode == Discovery::Push {
+        if self.mode == DiscoveryMode::Push {
             self.subscribe();
         }
         self.settle();
@@ -207,7 +207,7 @@
 
     fn fall_due(&mut self, due: Due) {
         match due {
-            Due::Timer(timer) => self.events.push_back(Event::Timer(timer)),
+            Due::Timer(timer) => self.events.push_back(Event::TimerExpired(timer)),
             Due::Tidy => {
                 self.servers.tidy();
                 self.servers.write_cold();
@@ -230,7 +230,7 @@
                         self.servers.counts.one(count);
                         let _ = reply.send(answer);
                         pending.call.is_finished.set(true);
-                        self.events.push_back(Event::Lapsed(request_id(id)));
+                        self.events.push_back(Event::RequestEnded(request_id(id)));
                         // One with no attempt out ends here; nothing else would forget it.
                         self.forget(id);
                     }
@@ -247,7 +247,7 @@
                 if pending.reply.take().is_some() {
                     self.servers.counts.one(Count::Disconnected);
                     self.due.remove(&pending.overdue);
-                    self.events.push_back(Event::Lapsed(request_id(id)));
+                    self.events.push_back(Event::RequestEnded(request_id(id)));
                     self.forget(id);
                 }
             }
@@ -255,11 +255,16 @@
             Msg::Probed { server, ended, spent } => {
                 let Ended { outcome, load, .. } = ended;
                 let spent = spent.as_micros() as Micros;
-                self.events.push_back(Event::Probed { server, outcome, spent, load });
+                self.events.push_back(Event::ProbeEnded {
+                    server,
+                    outcome,
+                    elapsed: spent,
+                    load_report: load,
+                });
             }
             Msg::News { watch, list } if watch == self.watch => self.news(&list),
             Msg::News { .. } => {}
-            Msg::Peer { from, data } => self.events.push_back(Event::Peer { from, data }),
+            Msg::Peer { from, data } => self.events.push_back(Event::PeerMessage { from, data }),
             Msg::Discovery(addr) if addr == self.discovery => {}
             Msg::Discovery(addr) => {
                 // The list stays until the new place has told its own, whole: its revisions may count
@@ -291,7 +296,15 @@
             },
         );
         let id = request_id(id);
-        self.events.push_back(Event::Request(Request { id, patience, class, cost, repeat, tenant, key }));
+        self.events.push_back(Event::Request(Request {
+            id,
+            time_left: patience,
+            class,
+            cost,
+            is_client_retry: repeat,
+            tenant,
+            key,
+        }));
     }
 
     /// Answers a request, unless it has its answer.
@@ -345,7 +358,15 @@
         let done = self.pending.get(&id).is_none_or(|pending| pending.reply.is_none());
         let spent = out.sent.elapsed().as_micros() as Micros;
         let (server, id_) = (out.server, request_id(id));
-        self.events.push_back(Event::Closed(Closed { id: id_, attempt, server, outcome, spent, done, load }));
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
+            id: id_,
+            attempt,
+            server,
+            outcome,
+            elapsed: spent,
+            is_request_done: done,
+            load_report: load,
+        }));
         self.forget(id);
     }
 
@@ -401,8 +422,8 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, limit, begin_within } => {
-                self.send(number(&id), server, limit, begin_within);
+            Action::Send { id, server, timeout, send_within } => {
+                self.send(number(&id), server, timeout, send_within);
             }
             Action::Cancel { id, attempt } => self.cancel(number(&id), attempt),
             Action::Refuse { id, retry_after } => {
@@ -418,12 +439,12 @@
                     let _ = tx.send(Msg::Probed { server, ended, spent: sent.elapsed() });
                 });
             }
-            Action::CloseIdle(server) => self.servers.close_idle(server),
+            Action::CloseIdleConnections(server) => self.servers.close_idle(server),
             Action::SetTimer { delay, timer } => {
                 self.due.insert(Due::Timer(timer), Duration::from_micros(delay));
             }
             Action::Subscribe => self.subscribe(),
-            Action::Tell { peer, data } => {
+            Action::SendMessage { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.send(peer, &data);
                 }
@@ -447,8 +468,16 @@
             }
             let (id, attempt, outcome) = (request_id(id), attempt as u32, Outcome::Moot);
             self.servers.counts.outcome(outcome);
-            let closed = Closed { id, attempt, server, outcome, spent: 0, done, load: Vec::new() };
-            return self.events.push_back(Event::Closed(closed));
+            let closed = AttemptEnd {
+                id,
+                attempt,
+                server,
+                outcome,
+                elapsed: 0,
+                is_request_done: done,
+                load_report: Vec::new(),
+            };
+            return self.events.push_back(Event::AttemptEnded(closed));
         };
         let until = match limit {
             0 => pending.deadline,
@@ -476,14 +505,14 @@
         self.servers.close_idle(server);
         let (id_, outcome) = (request_id(id), Outcome::Cancelled);
         self.servers.counts.outcome(outcome);
-        self.events.push_back(Event::Closed(Closed {
+        self.events.push_back(Event::AttemptEnded(AttemptEnd {
             id: id_,
             attempt,
             server,
             outcome,
-            spent,
-            done,
-            load: Vec::new(),
+            elapsed: spent,
+            is_request_done: done,
+            load_report: Vec::new(),
         }));
         self.forget(id);
     }
@@ -502,8 +531,8 @@
         let (number, tx, grace) = (self.watch, self.tx.clone(), self.servers.drain_grace());
         let (addr, revision) = (self.discovery, self.revision);
         let answerer = match self.mode {
-            Discovery::Push => Answerer::Agent,
-            Discovery::Ask => Answerer::Service,
+            DiscoveryMode::Push => Answerer::Agent,
+            DiscoveryMode::Subscribe => Answerer::Service,
         };
         self.watching = Some(AbortOnDrop::spawn(async move {
             watch(addr, revision, grace, answerer, |list| drop(tx.send(Msg::News { watch: number, list })))
--- a/src/bin/woodgap/request.rs
+++ b/src/bin/woodgap/request.rs
@@ -91,7 +91,7 @@
         let class_of = &settings.classes[class];
         let (safe, keyed) = match class_of.semantics {
             Semantics::Safe => (true, false),
-            Semantics::Keyed { .. } => (false, true),
+            Semantics::Deduplicated { .. } => (false, true),
             Semantics::Unsafe => (false, false),
         };
         // Servers go by the method and the key: one that says something else than the class would be
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -102,7 +102,7 @@
                 cell: CellId(entry.cell),
                 state: entry.state,
                 size: entry.size,
-                since: entry.up_since_ms.saturating_mul(1000),
+                started_at: entry.up_since_ms.saturating_mul(1000),
             });
             if entry.state == ServerState::Terminated {
                 entries.remove(&server);
--- a/src/config.rs
+++ b/src/config.rs
@@ -140,7 +140,7 @@
         let ramp = Ramp {
             start: settings.start_capacity,
             span_ms: settings.ramp_time / 1_000,
-            multiple: settings.fall_multiple,
+            multiple: settings.cold_overload_multiple,
             window_ms: micros("rules.overload-for", 2_000_000).as_millis() as u64,
         };
         Figures {
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(config.memory, 192 << 20);
     assert_eq!((config.settings.group_size, config.settings.max_attempts), (3, 5));
     assert_eq!((config.settings.classes[0].aim, config.names.class("pay")), (500_000, Some(0)));
-    assert!(config.settings.may_probe && config.known.entries.is_empty());
+    assert!(config.settings.can_probe && config.known.entries.is_empty());
     assert_eq!(config.figures.report, ["queue", "util"]);
     assert_eq!(discovery_of(GOOD).unwrap().port(), 2);
     assert!(discovery_of("{}").is_err() && discovery_of(&GOOD[..99]).is_err());
--- a/src/brain/health.rs
+++ b/src/policy/health.rs
@@ -115,16 +115,16 @@
 
 impl Balancer {
     /// What an outcome tells of its server.
-    pub(super) fn observe(&mut self, class: usize, closed: &Closed, out: &mut Vec<Action>) {
+    pub(super) fn observe(&mut self, class: usize, closed: &AttemptEnd, out: &mut Vec<Action>) {
         let Some(&i) = self.index.get(&closed.server) else { return };
-        let spent = closed.spent as f64;
+        let spent = closed.elapsed as f64;
         let timed_out = closed.outcome == Outcome::Timeout;
         let norm = &mut self.norms[class];
         let server = &mut self.servers[i];
         self.inflight = self.inflight.saturating_sub(1);
         server.inflight = server.inflight.saturating_sub(1);
         // What was out when it was ejected tells nothing new: one event would count many times over.
-        let sent = self.now.saturating_sub(closed.spent);
+        let sent = self.now.saturating_sub(closed.elapsed);
         let earlier = server.ejected.is_some() && sent < server.out_since;
         server.trial &= earlier;
         let answer = matches!(closed.outcome, Outcome::Ok | Outcome::Full | Outcome::Error);
@@ -139,21 +139,21 @@
         if full || closed.outcome == Outcome::Ok {
             server.turned += 0.15 * (f64::from(u8::from(full)) - server.turned);
         }
-        let util = self.settings.util_field.and_then(|field| closed.load.get(field));
+        let util = self.settings.utilization_index.and_then(|field| closed.load_report.get(field));
         server.util = util.copied().or(server.util);
         let answered = closed.outcome == Outcome::Ok;
         let mut late = false;
         // An attempt that timed out was at least as slow as that. Where no word of its server came after
         // it and few servers are out, that one hangs: no sign of more work than the others can do. In a
         // large group no server sends word that often: where one after the other hangs, all have too much.
-        let silent = server.quiet_since + closed.spent <= self.now;
+        let silent = server.quiet_since + closed.elapsed <= self.now;
         let hung = timed_out && silent && self.load.ejected.max(self.load.silent) <= FEW_OUT;
         if answered || (timed_out && !server.hung) {
             self.load.silent += 0.03 * (f64::from(u8::from(timed_out && silent)) - self.load.silent);
         }
         server.hung = (server.hung && !answer) || (timed_out && silent);
         if answered || (timed_out && !lost) {
-            late = !hung && (timed_out || closed.spent > self.settings.classes[class].aim);
+            late = !hung && (timed_out || closed.elapsed > self.settings.classes[class].aim);
             let sign = if hung { self.load.late } else { f64::from(u8::from(late)) };
             self.load.late += 0.03 * (sign - self.load.late);
             server.ratio += 0.15 * ((spent / norm.mean.max(1.0)).min(5.0) - server.ratio);
@@ -172,12 +172,12 @@
             server.reinstate();
         }
         // Every node comes to hold a connection to each server. Kept where a new one costs more.
-        let held = f64::from(self.settings.group_size) / 100.0 * self.settings.connection_price;
-        let many = self.settings.group_size > LARGE_GROUP && held >= self.settings.handshake_price;
+        let held = f64::from(self.settings.group_size) / 100.0 * self.settings.connection_deduction;
+        let many = self.settings.group_size > LARGE_GROUP && held >= self.settings.handshake_deduction;
         let unlinked = f64::from(u8::from(closed.outcome == Outcome::ConnectFailed));
         self.load.unlinked += 0.03 * (unlinked - self.load.unlinked);
         if server.inflight == 0 && (many || self.load.unlinked > LINKS_SHORT) {
-            out.push(Action::CloseIdle(closed.server));
+            out.push(Action::CloseIdleConnections(closed.server));
         }
         // Errors, resets and time-outs are one kind of symptom. Where the whole fleet shows it, moving
         // requests on helps nobody, so only what stands out is ejected. No connection to a server that
@@ -252,7 +252,7 @@
     /// Whether probes try ejected servers. A jammed one answers them, so in a large group, where most
     /// that are out are jammed, a request that may be repeated tries it.
     pub(super) fn probes(&self) -> bool {
-        self.settings.may_probe && self.settings.group_size <= LARGE_GROUP
+        self.settings.can_probe && self.settings.group_size <= LARGE_GROUP
     }
 
     pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
--- a/src/brain/load.rs
+++ b/src/policy/load.rs
@@ -87,7 +87,7 @@
         if self.window > SETTLED {
             self.load.serves = self.load.serves.max(serves);
         }
-        let pace = COLD_CARE * self.settings.fall_multiple * self.load.serves.max(serves) / 10.0;
+        let pace = COLD_CARE * self.settings.cold_overload_multiple * self.load.serves.max(serves) / 10.0;
         let probes = self.probes();
         for i in 0..self.servers.len() {
             let server = &self.servers[i];
@@ -97,7 +97,7 @@
             let (size, warmth) = (server.member.size, self.warmth(server));
             let gain = pace * size * warmth;
             total += size;
-            listed += size * (warmth * (COLD_CARE * self.settings.fall_multiple).max(1.0)).min(1.0);
+            listed += size * (warmth * (COLD_CARE * self.settings.cold_overload_multiple).max(1.0)).min(1.0);
             able += size * warmth * f64::from(u8::from(server.ejected.is_none()));
             let quiet = server.inflight > 0 && self.now > server.quiet_since + silence;
             if quiet && server.ejected.is_none() {
@@ -173,7 +173,7 @@
             WorthBy::Work => points,
             WorthBy::Request => points / self.norms[class].mean.max(1.0),
         };
-        value * if over { self.settings.over_share_worth } else { 1.0 }
+        value * if over { self.settings.over_quota_worth } else { 1.0 }
     }
 
     /// Whether a request of this slot lies beyond what a large group's servers can do by the list, where some
@@ -204,7 +204,7 @@
             }
         }
         let reserve = if higher > 0.0 { RESERVE * higher / (lower + higher) } else { 0.0 };
-        let spread = if self.settings.warm_keys { LEVELS } else { 0.0 };
+        let spread = if self.settings.servers_cache_keys { LEVELS } else { 0.0 };
         f64::from(self.inflight) + self.rng.f64()
             >= self.load.limit * (1.0 - reserve) * (1.0 + spread * (0.5 - slot_level(slot)))
     }
--- a/src/brain/list.rs
+++ b/src/policy/membership.rs
@@ -6,9 +6,10 @@
     pub(super) fn on_sync(&mut self, kind: SyncKind, members: Vec<Member>, out: &mut Vec<Action>) {
         if kind == SyncKind::Cached && self.servers.is_empty() {
             out.push(Action::SetTimer { delay: self.jitter(SWEEP), timer: TIMER_SWEEP });
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery_mode == DiscoveryMode::Subscribe {
                 // Nodes that start in step must not all call discovery at once.
-                let spread = (u64::from(self.settings.group_size) * 50_000).min(self.settings.ask_within / 3);
+                let spread = (u64::from(self.settings.group_size) * 50_000)
+                    .min(self.settings.max_unsubscribed_time / 3);
                 let delay = self.rng.u64(0..=spread);
                 out.push(Action::SetTimer { delay, timer: TIMER_SUBSCRIBE });
             }
@@ -17,7 +18,7 @@
             SyncKind::Failed => {
                 self.subscribed = false;
                 self.refusals += 1;
-                let delay = (500_000 << self.refusals.min(5)).min(self.settings.ask_within / 2);
+                let delay = (500_000 << self.refusals.min(5)).min(self.settings.max_unsubscribed_time / 2);
                 return out.push(Action::SetTimer { delay: self.jitter(delay), timer: TIMER_SUBSCRIBE });
             }
             SyncKind::Cached => {}
@@ -57,7 +58,7 @@
         };
         let old = &mut self.servers[i];
         self.stale_table |= old.ready != ready || old.member.size != member.size;
-        if member.since != old.member.since {
+        if member.started_at != old.member.started_at {
             // A restarted process owes nothing to what the old one did.
             let inflight = old.inflight;
             *old = Server { inflight, quiet_since: self.now, ..Server::new(member, budget) };
--- a/src/brain/mod.rs
+++ b/src/policy/mod.rs
@@ -1,17 +1,17 @@
-//! The decisions. The interface (settings, events, actions) is `src/api.rs`.
+//! The policy. The interface (settings, events, actions) is `src/api.rs`.
 //!
 //! The ordinary path: a request's key picks a slot of the Maglev table, the slot's owner serves
 //! it. Every exception only ever makes a request walk on from its slot to the next owner that
 //! can carry it: see `Balancer::route`.
 
 mod health;
-mod list;
 mod load;
+mod membership;
 mod request;
 mod retry;
 mod route;
+mod serial_queue;
 mod table;
-mod turns;
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -24,9 +24,9 @@
 use request::Pending;
 use retry::{fate_of, Fate, RETRY_BURST, RETRY_RATIO};
 use route::{Hot, COLD_CARE, HOT_KEEP};
+use serial_queue::Turn;
 pub use table::{build_table, TABLE_SLOTS};
 use table::{slot_level, KEY_SEED};
-use turns::Turn;
 
 /// How often the servers are looked over.
 const SWEEP: Micros = 100_000;
@@ -95,13 +95,13 @@
         match event {
             Event::Sync { kind, members } => self.on_sync(kind, members, out),
             Event::Request(request) => self.on_request(request, out),
-            Event::Closed(closed) => self.on_closed(closed, out),
-            Event::Lapsed(id) => self.end(id, out),
-            Event::Probed { server, outcome, .. } => self.on_probed(server, outcome),
-            Event::Timer(TIMER_SWEEP) => self.sweep(out),
-            Event::Timer(TimerId(n)) if n >= TIMER_REST => self.give_turn(Key(n - TIMER_REST), out),
-            Event::Timer(TIMER_SUBSCRIBE) if !self.subscribed => out.push(Action::Subscribe),
-            Event::Timer(_) | Event::Started { .. } | Event::Peer { .. } => {}
+            Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt, out),
+            Event::RequestEnded(id) => self.end(id, out),
+            Event::ProbeEnded { server, outcome, .. } => self.on_probed(server, outcome),
+            Event::TimerExpired(TIMER_SWEEP) => self.sweep(out),
+            Event::TimerExpired(TimerId(n)) if n >= TIMER_REST => self.give_turn(Key(n - TIMER_REST), out),
+            Event::TimerExpired(TIMER_SUBSCRIBE) if !self.subscribed => out.push(Action::Subscribe),
+            Event::TimerExpired(_) | Event::ResponseStarted { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
--- a/src/brain/request.rs
+++ b/src/policy/request.rs
@@ -40,10 +40,10 @@
         }
         self.retries = (self.retries + RETRY_RATIO).min(RETRY_BURST);
         let slot = self.slot_of(request.key);
-        let over = self.over_share(request.tenant, request.repeat, slot);
+        let over = self.over_share(request.tenant, request.is_client_retry, slot);
         self.norms[request.class.0].rates[usize::from(over)] += 1.0;
         let class = &self.settings.classes[request.class.0];
-        let ordered = request.key.filter(|_| class.in_order);
+        let ordered = request.key.filter(|_| class.is_serial_by_key);
         // Where a late answer earns nothing, waiting for it only fills a server's queue.
         let useful = if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / 32 };
         let pending = Pending {
@@ -51,8 +51,8 @@
             slot,
             key: request.key,
             ordered,
-            aim: self.now + class.aim.min(request.patience),
-            deadline: self.now + request.patience.min(useful),
+            aim: self.now + class.aim.min(request.time_left),
+            deadline: self.now + request.time_left.min(useful),
             attempts: Vec::new(),
             ended: false,
         };
@@ -77,8 +77,8 @@
         let target = if self.may_send(&self.requests[&id]) { self.route(id) } else { None };
         let Some(target) = target else { return self.conclude(id, out) };
         let now = self.now;
-        let limit = self.attempt_limit(&self.requests[&id]);
-        let begin_within = self.window(&self.requests[&id]).map(|end| end - now);
+        let timeout = self.attempt_timeout(&self.requests[&id]);
+        let send_within = self.window(&self.requests[&id]).map(|end| end - now);
         let server = &mut self.servers[target];
         if server.inflight == 0 {
             server.quiet_since = now;
@@ -90,7 +90,7 @@
         self.inflight += 1;
         self.load.sends += 1.0;
         let member = server.member.clone();
-        out.push(Action::Send { id, server: member.server, limit, begin_within });
+        out.push(Action::Send { id, server: member.server, timeout, send_within });
         let pending = self.requests.get_mut(&id).expect("held");
         pending.attempts.push(Attempt { member, sent: now, fate: Fate::Out });
     }
@@ -103,7 +103,7 @@
             let class = &self.settings.classes[self.requests[&id].class];
             let gone = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
             let advice = if gone { class.deadline } else { COME_BACK.min(self.settings.max_retry_after) };
-            let retry_after = if self.settings.retry_after { advice } else { 0 };
+            let retry_after = if self.settings.sends_retry_after { advice } else { 0 };
             out.push(Action::Refuse { id, retry_after });
         } else {
             out.push(Action::Fail { id });
@@ -116,7 +116,7 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let still_out = pending.attempts.iter().enumerate().filter(|(_, a)| a.fate == Fate::Out);
         let still_out: Vec<u32> = still_out.map(|(n, _)| n as u32).collect();
-        if self.settings.cancelling && !pending.ended {
+        if self.settings.can_cancel && !pending.ended {
             out.extend(still_out.iter().map(|&attempt| Action::Cancel { id, attempt }));
         }
         pending.ended = true;
@@ -130,8 +130,8 @@
         }
     }
 
-    pub(super) fn on_closed(&mut self, closed: Closed, out: &mut Vec<Action>) {
-        let Closed { id, server, outcome, .. } = closed;
+    pub(super) fn on_attempt_ended(&mut self, closed: AttemptEnd, out: &mut Vec<Action>) {
+        let AttemptEnd { id, server, outcome, .. } = closed;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(closed.attempt as usize) else { return };
         if attempt.fate != Fate::Out || attempt.member.server != server {
@@ -142,12 +142,12 @@
         let out_still = pending.attempts.iter().any(|a| a.fate == Fate::Out);
         let doubt = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if let Some(key) = pending.ordered.filter(|_| doubt) {
-            let delay = self.settings.settle_after_doubt;
+            let delay = self.settings.serial_key_cooldown;
             self.turns.entry(key).or_default().rests_until = self.now + delay;
             out.push(Action::SetTimer { delay, timer: TimerId(TIMER_REST.wrapping_add(key.0)) });
         }
         self.observe(class, &closed, out);
-        if ended || closed.done || outcome == Outcome::Ok {
+        if ended || closed.is_request_done || outcome == Outcome::Ok {
             self.end(id, out);
         } else if !out_still {
             // Resends of what may have run or was turned away as full feed a jam: there is a budget.
--- a/src/brain/retry.rs
+++ b/src/policy/retry.rs
@@ -31,8 +31,12 @@
     pub(super) fn in_group(&self, pending: &Pending, member: &Member) -> bool {
         let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan);
         match (self.settings.classes[pending.class].semantics, first) {
-            (Semantics::Keyed { scope: KeyScope::Zone, .. }, Some(a)) => a.member.zone == member.zone,
-            (Semantics::Keyed { scope: KeyScope::Cell, .. }, Some(a)) => a.member.cell == member.cell,
+            (Semantics::Deduplicated { scope: DedupScope::Zone, .. }, Some(a)) => {
+                a.member.zone == member.zone
+            }
+            (Semantics::Deduplicated { scope: DedupScope::Cell, .. }, Some(a)) => {
+                a.member.cell == member.cell
+            }
             _ => true,
         }
     }
@@ -41,7 +45,7 @@
         let out = pending.attempts.iter().any(|a| a.fate == Fate::Out);
         if self.now >= pending.deadline
             || pending.attempts.len() >= self.settings.max_attempts as usize
-            || (out && !self.settings.second_copies)
+            || (out && !self.settings.allows_concurrent_attempts)
         {
             return false;
         }
@@ -49,13 +53,13 @@
         match self.settings.classes[pending.class].semantics {
             Semantics::Safe => true,
             Semantics::Unsafe => !ran,
-            Semantics::Keyed { .. } => self.window(pending).is_none_or(|end| self.now < end),
+            Semantics::Deduplicated { .. } => self.window(pending).is_none_or(|end| self.now < end),
         }
     }
 
     /// When repeats of a keyed request that may have run have to be on their way, less a margin for that way.
     pub(super) fn window(&self, pending: &Pending) -> Option<Micros> {
-        let Semantics::Keyed { ttl, .. } = self.settings.classes[pending.class].semantics else {
+        let Semantics::Deduplicated { ttl, .. } = self.settings.classes[pending.class].semantics else {
             return None;
         };
         let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan)?;
@@ -64,18 +68,19 @@
 
     pub(super) fn may_refuse(&self, pending: &Pending) -> bool {
         match self.settings.classes[pending.class].semantics {
-            Semantics::Safe | Semantics::Keyed { scope: KeyScope::All, .. } => true,
+            Semantics::Safe | Semantics::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => pending.attempts.iter().all(|a| a.fate == Fate::NeverRan),
         }
     }
 
     /// Time-out of the next attempt: what is left, less where a further one could follow.
-    pub(super) fn attempt_limit(&self, pending: &Pending) -> Micros {
+    pub(super) fn attempt_timeout(&self, pending: &Pending) -> Micros {
         let left = pending.deadline.saturating_sub(self.now).max(1);
         let last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
         // Resends inside a small cell would crowd the neighbours of a slow server.
         let semantics = self.settings.classes[pending.class].semantics;
-        let narrow = matches!(semantics, Semantics::Unsafe | Semantics::Keyed { scope: KeyScope::Cell, .. });
+        let narrow =
+            matches!(semantics, Semantics::Unsafe | Semantics::Deduplicated { scope: DedupScope::Cell, .. });
         if last || narrow {
             return left;
         }
--- a/src/brain/route.rs
+++ b/src/policy/route.rs
@@ -41,8 +41,8 @@
     /// A part of capacity that a cold server surely has: it grows evenly from its start.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let ramp = self.settings.ramp_time;
-        let age = self.now.saturating_sub(server.member.since);
-        if server.member.since == 0 || age >= ramp {
+        let age = self.now.saturating_sub(server.member.started_at);
+        if server.member.started_at == 0 || age >= ramp {
             return 1.0;
         }
         let start = self.settings.start_capacity.clamp(0.0, 1.0);
@@ -57,7 +57,7 @@
         if spent || ejected {
             0.0
         } else {
-            server.share.min(warmth * (COLD_CARE * self.settings.fall_multiple).max(1.0))
+            server.share.min(warmth * (COLD_CARE * self.settings.cold_overload_multiple).max(1.0))
         }
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -271,7 +271,7 @@
         group_size: p.whole("group-size", 1).clamp(1, 1 << 20) as u32,
         classes,
         tenants,
-        over_share_worth: p.real("over-share-worth", 1.0),
+        over_quota_worth: p.real("over-share-worth", 1.0),
         worth_by: p
             .word("worth-by", &[("work", WorthBy::Work), ("request", WorthBy::Request)])
             .unwrap_or_default(),
@@ -286,25 +286,27 @@
                 ],
             )
             .unwrap_or_default(),
-        discovery: p
-            .word("registry-mode", &[("ask", Discovery::Ask), ("push", Discovery::Push)])
+        discovery_mode: p
+            .word("registry-mode", &[("ask", DiscoveryMode::Subscribe), ("push", DiscoveryMode::Push)])
             .unwrap_or_default(),
-        warm_keys: p.flag("domain.warm-keys"),
-        cancelling: p.flag("bounds.cancelling"),
-        may_probe: p.flag("bounds.may-probe"),
-        second_copies: p.flag("bounds.second-copies"),
+        servers_cache_keys: p.flag("domain.warm-keys"),
+        can_cancel: p.flag("bounds.cancelling"),
+        can_probe: p.flag("bounds.may-probe"),
+        allows_concurrent_attempts: p.flag("bounds.second-copies"),
         max_attempts: p.whole("bounds.max-attempts", 1).min(u64::from(u32::MAX)) as u32,
-        retry_after: p.flag("bounds.retry-after"),
+        sends_retry_after: p.flag("bounds.retry-after"),
         max_retry_after: p.whole("bounds.max-retry-after", 0),
-        handshake_price: p.real("deductions.handshake", 0.0),
-        connection_price: p.real("deductions.connection", 0.0),
+        handshake_deduction: p.real("deductions.handshake", 0.0),
+        connection_deduction: p.real("deductions.connection", 0.0),
         start_capacity: p.real("rules.start-capacity", 1.0),
         ramp_time: p.whole("rules.ramp-time", 0),
-        fall_multiple: p.real("rules.fall-multiple", 1.0),
-        ask_within: p.whole("rules.ask-within", 10_000_000),
-        settle_after_doubt: p.whole("rules.settle-after-doubt", 0),
+        cold_overload_multiple: p.real("rules.fall-multiple", 1.0),
+        max_unsubscribed_time: p.whole("rules.ask-within", 10_000_000),
+        serial_key_cooldown: p.whole("rules.settle-after-doubt", 0),
         full_may_have_run: p.flag("rules.may-shed-begun"),
-        util_field: p.text("report.fields").and_then(|fields| fields.split(',').position(|f| f == "util")),
+        utilization_index: p
+            .text("report.fields")
+            .and_then(|fields| fields.split(',').position(|f| f == "util")),
     };
     (settings, Names { classes: class_names, tenants: tenant_names })
 }
@@ -340,9 +342,9 @@
     let semantics = match p.word(&format!("{at}.semantics"), &words) {
         Some("safe") => Semantics::Safe,
         Some("keyed") => {
-            let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
-            Semantics::Keyed {
-                scope: p.word(&format!("{at}.key-scope"), &scopes).unwrap_or(KeyScope::Cell),
+            let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+            Semantics::Deduplicated {
+                scope: p.word(&format!("{at}.key-scope"), &scopes).unwrap_or(DedupScope::Cell),
                 ttl: p.whole(&format!("{at}.key-ttl"), 0),
             }
         }
@@ -355,7 +357,7 @@
         points: p.real(&format!("{at}.points"), 1.0),
         late_share: p.real(&format!("{at}.late-share"), 0.0),
         semantics,
-        in_order: p.flag(&format!("{at}.serial-by-key")),
+        is_serial_by_key: p.flag(&format!("{at}.serial-by-key")),
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,14 @@
 pub const SECOND: Micros = 1_000_000;
 
 pub fn class(semantics: Semantics) -> Class {
-    Class { aim: 500_000, deadline: 2 * SECOND, points: 1.0, late_share: 0.2, semantics, in_order: false }
+    Class {
+        aim: 500_000,
+        deadline: 2 * SECOND,
+        points: 1.0,
+        late_share: 0.2,
+        semantics,
+        is_serial_by_key: false,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -14,17 +21,17 @@
         classes: vec![
             class(Semantics::Safe),
             class(Semantics::Unsafe),
-            class(Semantics::Keyed { scope: KeyScope::Cell, ttl: SECOND }),
-            class(Semantics::Keyed { scope: KeyScope::All, ttl: SECOND }),
+            class(Semantics::Deduplicated { scope: DedupScope::Cell, ttl: SECOND }),
+            class(Semantics::Deduplicated { scope: DedupScope::All, ttl: SECOND }),
         ],
         weight_source: WeightSource::Nominal,
-        warm_keys: true,
-        cancelling: true,
-        second_copies: true,
+        servers_cache_keys: true,
+        can_cancel: true,
+        allows_concurrent_attempts: true,
         max_attempts: 3,
         start_capacity: 0.2,
         ramp_time: 10 * SECOND,
-        fall_multiple: 3.0,
+        cold_overload_multiple: 3.0,
         ..Settings::default()
     }
 }
@@ -36,7 +43,7 @@
         cell: CellId(u64::from(server / 4)),
         state: ServerState::InService,
         size: 1.0,
-        since: 0,
+        started_at: 0,
     }
 }
 
@@ -49,10 +56,10 @@
 pub fn request(n: u64, class: usize, key: u64) -> Request {
     Request {
         id: id(n),
-        patience: SECOND,
+        time_left: SECOND,
         class: ClassId(class),
         cost: None,
-        repeat: false,
+        is_client_retry: false,
         tenant: None,
         key: Some(Key(key)),
     }
@@ -103,7 +110,15 @@
         spent: Micros,
     ) -> Vec<Action> {
         let (id, done) = (id(n), outcome == Outcome::Ok);
-        self.event(Event::Closed(Closed { id, attempt, server, outcome, spent, done, load: vec![] }))
+        self.event(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed: spent,
+            is_request_done: done,
+            load_report: vec![],
+        }))
     }
 
     pub fn sync(&mut self, kind: SyncKind, members: Vec<Member>) -> Vec<Action> {
@@ -115,7 +130,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 100_000;
-            self.event(Event::Timer(TimerId(1)));
+            self.event(Event::TimerExpired(TimerId(1)));
         }
     }
 }
--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -240,7 +240,7 @@
 fn retries_do_not_put_a_tenant_beyond_its_share() {
     let refusals = |repeats: bool| {
         let tenants = vec![Tenant { quota_per_s: 100.0 }];
-        let settings = Settings { tenants, over_share_worth: 0.1, warm_keys: false, ..settings() };
+        let settings = Settings { tenants, over_quota_worth: 0.1, servers_cache_keys: false, ..settings() };
         let mut node = Node::new(settings, (0..10).map(member).collect());
         let held: Vec<_> = (0..200).map(|n| (n, node.place(n, UNSAFE, n))).collect();
         answer(&mut node, 1_000, 60, Outcome::Ok, 900_000);
@@ -255,7 +255,8 @@
         let mut refusals = 0;
         for n in 10_000..10_200 {
             let repeat = repeats && n % 4 != 0;
-            let request = Request { tenant: Some(TenantId(0)), repeat, ..request(n, UNSAFE, n) };
+            let request =
+                Request { tenant: Some(TenantId(0)), is_client_retry: repeat, ..request(n, UNSAFE, n) };
             match sent(&node.event(Event::Request(request))) {
                 Some(server) => drop(node.close(n, 0, server, Outcome::Ok)),
                 None => refusals += 1,
--- a/tests/decisions/sending.rs
+++ b/tests/decisions/sending.rs
@@ -180,14 +180,19 @@
 fn bad_uses_are_ignored() {
     let mut node = Node::fleet(2);
     assert!(node.close(1, 0, ServerId(0), Outcome::Ok).is_empty());
-    assert!(node.event(Event::Lapsed(id(5))).is_empty());
+    assert!(node.event(Event::RequestEnded(id(5))).is_empty());
     let server = node.place(1, SAFE, 5);
     assert!(node.close(1, 9, server, Outcome::Ok).is_empty());
     assert!(node.ask(1, SAFE, 5).is_empty(), "an id still held");
     node.close(1, 0, server, Outcome::Ok);
     assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
     assert!(refused(&node.ask(2, 99, 5)), "a class outside the settings");
-    node.event(Event::Probed { server: ServerId(99), outcome: Outcome::Ok, spent: 1, load: vec![] });
+    node.event(Event::ProbeEnded {
+        server: ServerId(99),
+        outcome: Outcome::Ok,
+        elapsed: 1,
+        load_report: vec![],
+    });
 }
 
 // Guards against a second effect where servers shed work that they had begun.
@@ -208,7 +213,7 @@
 #[test]
 fn clients_are_kept_away_only_where_a_return_is_worthless() {
     let advice = |late_share: f64, heeded: Micros, allowed: bool| {
-        let mut settings = Settings { retry_after: allowed, max_retry_after: heeded, ..settings() };
+        let mut settings = Settings { sends_retry_after: allowed, max_retry_after: heeded, ..settings() };
         settings.classes[SAFE].late_share = late_share;
         let actions = Node::new(settings, vec![]).ask(1, SAFE, 5);
         match actions[..] {
@@ -230,7 +235,7 @@
     let limit = |class| {
         let actions = Node::fleet(8).ask(1, class, 5);
         actions.iter().find_map(|a| match a {
-            Action::Send { limit, .. } => Some(*limit),
+            Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         })
     };
@@ -243,7 +248,7 @@
         node.close(n, 0, server, Outcome::Ok);
     }
     let actions = node.ask(2000, SAFE, 5);
-    assert!(matches!(actions[..], [Action::Send { limit, .. }] if limit < SECOND / 2), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Send { timeout, .. }] if timeout < SECOND / 2), "{actions:?}");
 }
 
 // Guards against work done twice or never: a request a few times heavier than the mean is as heavy on
@@ -258,7 +263,7 @@
     // The mean is 20 ms by now.
     let actions = node.ask(1000, SAFE, 5);
     assert!(
-        matches!(actions[..], [Action::Send { limit, .. }] if (120_000..400_000).contains(&limit)),
+        matches!(actions[..], [Action::Send { timeout, .. }] if (120_000..400_000).contains(&timeout)),
         "{actions:?}"
     );
 }
@@ -269,7 +274,7 @@
 fn a_keyed_repeat_has_to_begin_within_its_window() {
     let begin = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { begin_within, .. } => Some(*begin_within),
+            Action::Send { send_within, .. } => Some(*send_within),
             _ => None,
         })
     };
--- a/tests/decisions/servers.rs
+++ b/tests/decisions/servers.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_cold_server_starts_with_few_keys_and_ends_with_its_share() {
     let mut members: Vec<Member> = (0..4).map(member).collect();
-    members[0].since = 100 * SECOND;
+    members[0].started_at = 100 * SECOND;
     let mut node = Node::new(settings(), members);
     let part = |node: &mut Node, base: u64| {
         let mut cold = 0;
@@ -58,7 +58,7 @@
 fn in_a_large_group_one_silence_ejects_until_a_request_tries_the_server() {
     // A node that sends 20 requests a second, and its server for a key that has just timed out.
     let after_silence = |group_size: u32| {
-        let settings = Settings { group_size, may_probe: true, ..settings() };
+        let settings = Settings { group_size, can_probe: true, ..settings() };
         let mut node = Node::new(settings, (0..60).map(member).collect());
         for n in 0..200 {
             let server = node.place(n, SAFE, n);
@@ -85,7 +85,7 @@
     let mut look = |node: &mut Node, span: Micros| {
         for _ in 0..span / 100_000 {
             node.now += 100_000;
-            let actions = node.event(Event::Timer(TimerId(1)));
+            let actions = node.event(Event::TimerExpired(TimerId(1)));
             probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         }
     };
@@ -124,7 +124,7 @@
     let mut node = Node::fleet(4);
     let owner = node.place(1, UNSAFE, 5);
     node.close(1, 0, owner, Outcome::Ok);
-    node.sync(SyncKind::Delta, vec![Member { since: node.now, ..member(owner.0) }]);
+    node.sync(SyncKind::Delta, vec![Member { started_at: node.now, ..member(owner.0) }]);
     let mut counts = [0u32; 4];
     // Ten seconds: as long as it is cold.
     for n in 0..1_000 {
@@ -151,7 +151,7 @@
             node.pass(SECOND);
         }
         node.pass(slump);
-        node.sync(SyncKind::Delta, vec![Member { since: node.now, ..member(10) }]);
+        node.sync(SyncKind::Delta, vec![Member { started_at: node.now, ..member(10) }]);
         let mut cold = 0;
         for n in 100_000..100_300 {
             let server = node.place(n, SAFE, n);
@@ -193,7 +193,7 @@
 #[test]
 fn one_event_ejects_once() {
     let mut settings = settings();
-    settings.may_probe = true;
+    settings.can_probe = true;
     let mut node = Node::new(settings, (0..12).map(member).collect());
     let mut out: Vec<(u64, ServerId)> = (0..200).map(|n| (n, node.place(n, UNSAFE, n))).collect();
     out.retain(|o| o.1 == ServerId(3));
@@ -204,7 +204,7 @@
     }
     // The longest first ejection, and a look-over more.
     let start = node.now;
-    while !node.event(Event::Timer(TimerId(1))).contains(&Action::Probe(ServerId(3))) {
+    while !node.event(Event::TimerExpired(TimerId(1))).contains(&Action::Probe(ServerId(3))) {
         assert!(node.now < start + 1_200_000, "still out");
         node.now += 100_000;
     }
--- a/tests/decisions/turns.rs
+++ b/tests/decisions/turns.rs
@@ -5,8 +5,8 @@
 use woodgap::*;
 
 fn in_order() -> Settings {
-    let mut settings = Settings { settle_after_doubt: 200_000, ..settings() };
-    settings.classes[UNSAFE].in_order = true;
+    let mut settings = Settings { serial_key_cooldown: 200_000, ..settings() };
+    settings.classes[UNSAFE].is_serial_by_key = true;
     settings
 }
 
@@ -38,7 +38,7 @@
         _ => None,
     });
     node.now += 200_000;
-    assert!(sent(&node.event(Event::Timer(timer.expect("set")))).is_some());
+    assert!(sent(&node.event(Event::TimerExpired(timer.expect("set")))).is_some());
 }
 
 // Guards against an ended request's withdrawn attempt running beside the next one of its key.
@@ -47,7 +47,7 @@
     let mut node = ordered_fleet();
     let first = node.place(1, UNSAFE, 5);
     node.ask(2, UNSAFE, 5);
-    assert!(sent(&node.event(Event::Lapsed(id(1)))).is_none());
+    assert!(sent(&node.event(Event::RequestEnded(id(1)))).is_none());
     assert!(sent(&node.close(1, 0, first, Outcome::Ok)).is_some());
 }
 
@@ -62,7 +62,7 @@
     while node.now < 101 * SECOND {
         node.now += 100_000;
         refusals += node
-            .event(Event::Timer(TimerId(1)))
+            .event(Event::TimerExpired(TimerId(1)))
             .iter()
             .filter(|a| matches!(a, Action::Refuse { .. }))
             .count();
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -7,7 +7,7 @@
 const MOST_LINES: usize = 1_200;
 const MOST_WIDTH: usize = 110;
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
-const MODULE: &str = "src/brain";
+const MODULE: &str = "src/policy";
 
 /// The files that `policy` in the deploy file names.
 fn policy() -> BTreeSet<String> {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -97,7 +97,7 @@
     fn check(&mut self, action: Action) {
         let now = self.node.now;
         match action {
-            Action::Send { id, server, limit, .. } => {
+            Action::Send { id, server, timeout: limit, .. } => {
                 let member = self.members.get(&server.0).expect("on the list").clone();
                 assert_eq!(member.state, ServerState::InService, "drains are kept");
                 let n = Self::number(id);
@@ -112,18 +112,18 @@
                 assert!(limit > 0 && now + limit <= held.deadline, "in time");
                 assert!(held.sent.len() < self.settings.max_attempts as usize);
                 let out = held.sent.iter().any(|s| s.ran.is_none());
-                assert!(!out || self.settings.second_copies, "two copies at once");
+                assert!(!out || self.settings.allows_concurrent_attempts, "two copies at once");
                 let first = held.sent.iter().find(|s| s.ran != Some(false));
                 if let Some(first) = first {
                     match self.settings.classes[held.class].semantics {
                         Semantics::Safe => {}
                         Semantics::Unsafe => panic!("an effect may happen twice"),
-                        Semantics::Keyed { scope, ttl } => {
+                        Semantics::Deduplicated { scope, ttl } => {
                             assert!(now <= first.at + ttl, "past the time it is remembered");
                             match scope {
-                                KeyScope::All => {}
-                                KeyScope::Zone => assert_eq!(first.member.zone, member.zone),
-                                KeyScope::Cell => assert_eq!(first.member.cell, member.cell),
+                                DedupScope::All => {}
+                                DedupScope::Zone => assert_eq!(first.member.zone, member.zone),
+                                DedupScope::Cell => assert_eq!(first.member.cell, member.cell),
                             }
                         }
                     }
@@ -134,7 +134,7 @@
                 let held = self.held.get_mut(&Self::number(id)).expect("known");
                 assert!(!held.ended, "one final answer");
                 let lawful = match self.settings.classes[held.class].semantics {
-                    Semantics::Safe | Semantics::Keyed { scope: KeyScope::All, .. } => true,
+                    Semantics::Safe | Semantics::Deduplicated { scope: DedupScope::All, .. } => true,
                     _ => held.sent.iter().all(|s| s.ran == Some(false)),
                 };
                 assert!(lawful, "a refusal says that trying again is harmless");
@@ -148,7 +148,7 @@
                 self.finals += 1;
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.cancelling);
+                assert!(self.settings.can_cancel);
                 let held = &self.held[&Self::number(id)];
                 assert!((attempt as usize) < held.sent.len(), "an attempt that was made");
             }
@@ -157,13 +157,13 @@
                 self.timers.insert((now + delay, self.next), timer);
             }
             Action::Probe(server) => {
-                assert!(self.settings.may_probe);
+                assert!(self.settings.can_probe);
                 assert!(self.members.contains_key(&server.0));
             }
-            Action::Tell { data, .. } => {
+            Action::SendMessage { data, .. } => {
                 assert!(data.len() <= 256, "longer than a message");
             }
-            Action::CloseIdle(_) | Action::Subscribe | Action::Log(_) => {}
+            Action::CloseIdleConnections(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -195,11 +195,19 @@
             _ => true,
         });
         if let Some(key) = held.ordered.filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Reset)) {
-            self.rests.insert(key, self.node.now + self.settings.settle_after_doubt);
+            self.rests.insert(key, self.node.now + self.settings.serial_key_cooldown);
         }
         let (server, spent) = (sent.member.server, self.node.now - sent.at);
         let (id, attempt, load) = (id(n), attempt as u32, vec![]);
-        self.event(Event::Closed(Closed { id, attempt, server, outcome, spent, done, load }));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt,
+            server,
+            outcome,
+            elapsed: spent,
+            is_request_done: done,
+            load_report: load,
+        }));
     }
 
     /// Runs timers and time-outs that fall due on the way, in their order.
@@ -218,7 +226,7 @@
                 let (n, a) = attempt.unwrap();
                 self.close(n, a, Outcome::Timeout);
             } else if let Some(timer) = timer.and_then(|t| self.timers.remove(&t)) {
-                self.event(Event::Timer(timer));
+                self.event(Event::TimerExpired(timer));
             }
         }
         self.node.now = end;
@@ -232,9 +240,9 @@
                 self.next += 1;
                 let n = self.next;
                 let deadline = self.node.now + patience;
-                let ordered = self.settings.classes[class].in_order.then_some(key);
+                let ordered = self.settings.classes[class].is_serial_by_key.then_some(key);
                 self.held.insert(n, Held { class, ordered, deadline, sent: Vec::new(), ended: false });
-                self.event(Event::Request(Request { patience, ..request(n, class, key) }));
+                self.event(Event::Request(Request { time_left: patience, ..request(n, class, key) }));
                 let held = &self.held[&n];
                 assert!(held.ended || !held.sent.is_empty() || ordered.is_some(), "held for no reason");
             }
@@ -260,7 +268,7 @@
                 if !open.is_empty() {
                     let n = open[pick % open.len()];
                     self.held.get_mut(&n).unwrap().ended = true;
-                    self.event(Event::Lapsed(id(n)));
+                    self.event(Event::RequestEnded(id(n)));
                 }
             }
             Step::List { full, servers } => {
@@ -273,7 +281,7 @@
                         _ => ServerState::InService,
                     };
                     let since = if server % 3 == 0 { now } else { 0 };
-                    members.insert(server, Member { state, since, ..member(server) });
+                    members.insert(server, Member { state, started_at: since, ..member(server) });
                 }
                 let kind = if full { SyncKind::Full } else { SyncKind::Delta };
                 self.list(kind, members.into_values().collect());
@@ -282,7 +290,7 @@
             Step::Probe { server, ok } => {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
                 let (server, load) = (ServerId(server), vec![]);
-                self.event(Event::Probed { server, outcome, spent: 1_000, load });
+                self.event(Event::ProbeEnded { server, outcome, elapsed: 1_000, load_report: load });
             }
             Step::Wait { span } => self.wait(span),
         }
@@ -316,21 +324,26 @@
 
 #[test]
 fn in_order_classes_and_full_as_no_proof() {
-    let mut settings = Settings { settle_after_doubt: 200_000, full_may_have_run: true, ..settings() };
-    settings.classes[1].in_order = true;
-    settings.classes[2].in_order = true;
-    settings.classes[2].semantics = Semantics::Keyed { scope: KeyScope::Zone, ttl: SECOND };
+    let mut settings = Settings { serial_key_cooldown: 200_000, full_may_have_run: true, ..settings() };
+    settings.classes[1].is_serial_by_key = true;
+    settings.classes[2].is_serial_by_key = true;
+    settings.classes[2].semantics = Semantics::Deduplicated { scope: DedupScope::Zone, ttl: SECOND };
     days(settings.clone());
-    days(Settings { full_may_have_run: false, cancelling: false, second_copies: false, ..settings });
+    days(Settings {
+        full_may_have_run: false,
+        can_cancel: false,
+        allows_concurrent_attempts: false,
+        ..settings
+    });
 }
 
 #[test]
 fn one_copy_at_a_time_with_probes_and_ask() {
     days(Settings {
-        second_copies: false,
-        cancelling: false,
-        may_probe: true,
-        discovery: Discovery::Ask,
+        allows_concurrent_attempts: false,
+        can_cancel: false,
+        can_probe: true,
+        discovery_mode: DiscoveryMode::Subscribe,
         group_size: 60,
         ..settings()
     });
@@ -361,8 +374,8 @@
 fn cold_servers_are_sent_less_than_topples_them() {
     for (cold, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
         let mut members: Vec<Member> = (0..12).map(member).collect();
-        members[..cold].iter_mut().for_each(|m| m.since = 100 * SECOND);
-        let settings = Settings { fall_multiple: multiple, ..settings() };
+        members[..cold].iter_mut().for_each(|m| m.started_at = 100 * SECOND);
+        let settings = Settings { cold_overload_multiple: multiple, ..settings() };
         let mut node = Node::new(settings.clone(), members);
         for window in 0..9 {
             let (per_window, mut counts) = (2_000u64, [0u32; 12]);
@@ -390,7 +403,7 @@
 /// A subscription that is refused or cut is asked for again, with a pause, well inside the bound.
 #[test]
 fn a_node_that_must_ask_never_goes_long_without_asking() {
-    let settings = Settings { discovery: Discovery::Ask, group_size: 60, ..settings() };
+    let settings = Settings { discovery_mode: DiscoveryMode::Subscribe, group_size: 60, ..settings() };
     let mut node = Node { balancer: Balancer::new(settings.clone(), 9), now: SECOND };
     let mut first = node.sync(SyncKind::Cached, vec![member(1)]);
     for _ in 0..12 {
@@ -399,9 +412,9 @@
             _ => None,
         });
         let due = due.expect("a timer to ask by");
-        assert!(due < settings.ask_within, "{due}");
+        assert!(due < settings.max_unsubscribed_time, "{due}");
         node.now += due;
-        assert_eq!(node.event(Event::Timer(TimerId(2))), vec![Action::Subscribe]);
+        assert_eq!(node.event(Event::TimerExpired(TimerId(2))), vec![Action::Subscribe]);
         first = node.sync(SyncKind::Failed, vec![]);
     }
 }
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,6 +1,6 @@
 //! The table: what nodes must agree on, and what a change of the fleet may move.
 
-use woodgap::brain::{build_table, TABLE_SLOTS};
+use woodgap::policy::{build_table, TABLE_SLOTS};
 use woodgap::ServerId;
 
 fn fleet(n: u32) -> Vec<(ServerId, f64)> {
