--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,4 +1,5 @@
-//! The program's own configuration: a TOML file, then `FIRCROFT_*`, then flags.
+//! The configuration of the program, from lowest to highest precedence: defaults, `RUST_LOG` for the log filter,
+//! a TOML file, variables `FIRCROFT_*`, flags.
 
 use std::path::PathBuf;
 
@@ -7,33 +8,33 @@
 use figment::Figment;
 use serde::{Deserialize, Serialize};
 
-use crate::WrongUse;
+use crate::UsageError;
 
-/// How the log is written.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
     /// Text on a terminal, JSON elsewhere.
     #[default]
     Auto,
-    /// Lines to read.
+    /// Lines of text.
     Text,
-    /// An object a line.
+    /// A JSON object on each line.
     Json,
 }
 
-/// All that can be configured.
+/// The whole configuration.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// How the log is written.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// What is logged.
+    /// Filter of the log, in the syntax of `tracing_subscriber::EnvFilter`.
     pub log_filter: String,
-    /// A replica's own.
+    /// Configuration of `fircroft registry`.
     #[serde(default, skip_serializing)]
     pub registry: Option<replica::Config>,
-    /// An agent's own.
+    /// Configuration of `fircroft agent`.
     #[serde(default, skip_serializing)]
     pub agent: Option<agent::Config>,
 }
@@ -44,32 +45,32 @@
     }
 }
 
-/// The flags that set them.
+/// The flags that override the configuration.
 #[derive(Debug, clap::Args, Serialize)]
 pub struct Flags {
     /// Configuration file in TOML, with the keys log_format and log_filter and the tables registry and agent
     #[arg(long, global = true, env = "FIRCROFT_CONFIG", value_name = "FILE")]
     #[serde(skip)]
     config: Option<PathBuf>,
-    /// Form of the log on standard error: auto is text on a terminal and JSON elsewhere
+    /// Format of the log on standard error; auto is text on a terminal and JSON elsewhere
     #[arg(long, global = true, value_name = "FORMAT")]
     #[serde(skip_serializing_if = "Option::is_none")]
     log_format: Option<LogFormat>,
-    /// What is logged, as tracing's filters write it
+    /// Filter of the log, in the syntax of tracing's EnvFilter
     #[arg(long, global = true, value_name = "FILTER")]
     #[serde(skip_serializing_if = "Option::is_none")]
     log_filter: Option<String>,
 }
 
 impl Settings {
-    /// Reads all places; a later one counts.
+    /// Loads the configuration from all sources.
     pub fn load(flags: &Flags) -> anyhow::Result<Settings> {
         let mut figment = Figment::from(Serialized::defaults(Settings::default()));
         if let Ok(filter) = std::env::var("RUST_LOG") {
             figment = figment.merge(("log_filter", filter));
         }
         if let Some(file) = &flags.config {
-            // Figment takes a file that is not there for an empty one.
+            // Figment treats a missing file as an empty one, so check that the file exists.
             std::fs::metadata(file).with_context(|| file.display().to_string())?;
             figment = figment.merge(Toml::file_exact(file));
         }
@@ -77,6 +78,6 @@
             .merge(Env::prefixed("FIRCROFT_").ignore(&["config"]).split("__"))
             .merge(Serialized::defaults(flags))
             .extract()
-            .map_err(|error| WrongUse(format!("configuration: {error}")).into())
+            .map_err(|error| UsageError(format!("configuration: {error}")).into())
     }
 }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The program as a user meets it: what it prints, and its exit codes.
+//! The program as a process: its output and exit codes.
 
 use std::io::{Read, Write};
 use std::path::PathBuf;
@@ -6,14 +6,17 @@
 
 use serde_json::Value;
 
-fn example(name: &str) -> String {
+/// The path of a file in `examples/`.
+fn example_path(name: &str) -> String {
     format!("{}/../../examples/{name}", env!("CARGO_MANIFEST_DIR"))
 }
 
 fn command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fircroft"));
-    let own = std::env::vars().filter(|(name, _)| name.starts_with("FIRCROFT_") || name == "RUST_LOG");
-    own.for_each(|(name, _)| {
+    // Variables of the test's own environment must not change the result.
+    let configuring =
+        std::env::vars().filter(|(name, _)| name.starts_with("FIRCROFT_") || name == "RUST_LOG");
+    configuring.for_each(|(name, _)| {
         command.env_remove(name);
     });
     command.args(args);
@@ -28,12 +31,13 @@
     String::from_utf8(bytes.to_vec()).expect("is text")
 }
 
-/// The command's exit code with what it printed.
-fn ended(output: &Output) -> (i32, String, String) {
+/// Exit code, standard output and standard error.
+fn exit_and_output(output: &Output) -> (i32, String, String) {
     (output.status.code().expect("ends by itself"), text(&output.stdout), text(&output.stderr))
 }
 
-fn file(name: &str, content: &str) -> (tempfile::TempDir, PathBuf) {
+/// A file in a temporary folder, which is removed with the first value.
+fn temp_file(name: &str, content: &str) -> (tempfile::TempDir, PathBuf) {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join(name);
     std::fs::write(&path, content).unwrap();
@@ -41,22 +45,22 @@
 }
 
 #[test]
-fn a_good_configuration_is_said_to_be_good() {
-    let (code, out, err) = ended(&run(&["check", "config", &example("config.json")]));
+fn a_valid_configuration_exits_with_0_and_reports_the_defaults() {
+    let (code, out, err) = exit_and_output(&run(&["check", "config", &example_path("config.json")]));
     assert_eq!((code, err.as_str()), (0, ""), "{out}");
-    assert!(out.contains("good, 2 classes, 1 known servers"), "{out}");
-    // What the file does not tell is named, and is nothing wrong.
+    assert!(out.contains(": valid, 2 classes, 1 known servers"), "{out}");
+    // An absent setting is reported as a note, which does not change the exit code.
     assert!(out.contains("note: settings.rules."), "{out}");
 }
 
 #[test]
-fn all_that_is_wrong_with_a_configuration_is_said_at_once() {
-    let (_dir, path) = file(
+fn all_problems_of_a_configuration_are_reported_together() {
+    let (_dir, path) = temp_file(
         "config.json",
         r#"{"listen": "127.0.0.1:1", "discovery": 9, "seed": "1", "settings": {"classes": [
             {"name": "a", "aim": -3, "semantics": "twice"}]}}"#,
     );
-    let (code, out, _) = ended(&run(&["check", "config", path.to_str().unwrap()]));
+    let (code, out, _) = exit_and_output(&run(&["check", "config", path.to_str().unwrap()]));
     let lines: Vec<&str> = out.lines().collect();
     assert_eq!(code, 2);
     assert_eq!(
@@ -84,71 +88,76 @@
 }
 
 #[test]
-fn a_configuration_that_is_not_there_or_no_json_is_told_apart() {
-    let (code, _, err) = ended(&run(&["check", "config", "no-such-file.json"]));
+fn a_missing_file_and_a_file_without_json_have_different_exit_codes() {
+    let (code, _, err) = exit_and_output(&run(&["check", "config", "no-such-file.json"]));
     assert_eq!(code, 1);
     assert!(err.contains("no-such-file.json: No such file"), "{err}");
-    let (_dir, path) = file("config.json", "{\"listen\": ");
-    let (code, out, _) = ended(&run(&["check", "config", path.to_str().unwrap()]));
+    let (_dir, path) = temp_file("config.json", "{\"listen\": ");
+    let (code, out, _) = exit_and_output(&run(&["check", "config", path.to_str().unwrap()]));
     assert_eq!(code, 2);
     assert!(out.contains("the file: expected a JSON object, found EOF") && out.contains("line 1"), "{out}");
 }
 
 #[test]
-fn the_table_shows_each_servers_slots() {
-    let (code, out, _) = ended(&run(&["table", &example("targets.json"), "--json"]));
+fn the_table_shows_the_slots_of_each_server() {
+    let (code, out, _) = exit_and_output(&run(&["table", &example_path("targets.json"), "--json"]));
     assert_eq!(code, 0);
     let report: Value = serde_json::from_str(&out).unwrap();
     let servers = report["servers"].as_array().unwrap();
     let slots: u64 = servers.iter().map(|row| row["slots"].as_u64().unwrap()).sum();
-    // The one that is terminating has none.
+    // The terminating server has no slots and no row.
     assert_eq!((servers.len(), slots, report["table_slots"].as_u64()), (3, 16_381, Some(16_381)));
     for row in servers {
         let (slots, due) = (row["slots"].as_f64().unwrap(), row["due"].as_f64().unwrap());
         assert!((slots / due - 1.0).abs() < 0.01, "{row}");
     }
-    let (_, out, _) = ended(&run(&["table", &example("targets.json")]));
+    let (_, out, _) = exit_and_output(&run(&["table", &example_path("targets.json")]));
     assert!(out.contains("3 servers share 16381 slots; each has "), "{out}");
-    let (_, out, _) = ended(&run(&["table", &example("config.json")]));
+    let (_, out, _) = exit_and_output(&run(&["table", &example_path("config.json")]));
     assert!(out.contains("1 servers share 16381 slots; each has 1.000 to 1.000"), "{out}");
 }
 
 #[test]
-fn a_change_moves_little_more_than_it_must() {
-    let (code, out, _) = ended(&run(&["table", "--servers", "200", "--change", "-s-7,+s-new", "--json"]));
+fn a_change_moves_few_more_slots_than_necessary() {
+    let (code, out, _) =
+        exit_and_output(&run(&["table", "--servers", "200", "--change", "-s-7,+s-new", "--json"]));
     assert_eq!(code, 0);
     let report: Value = serde_json::from_str(&out).unwrap();
-    let (slots, least) =
+    let (slots, min_slots) =
         (report["moved"]["slots"].as_u64().unwrap(), report["moved"]["least"].as_u64().unwrap());
-    // One server's slots at the least; an even table over 200 gives each about 82.
-    assert!((75..=90).contains(&least) && (least..16_381 / 10).contains(&slots), "{slots} of {least}");
+    // At least the slots of one server have to move; of 200 servers, each has about 82 of the 16381 slots.
+    assert!(
+        (75..=90).contains(&min_slots) && (min_slots..16_381 / 10).contains(&slots),
+        "{slots} of {min_slots}"
+    );
     let (_, again, _) =
-        ended(&run(&["table", "--servers", "200", "--change=-s-7", "--change=+s-new", "--json"]));
+        exit_and_output(&run(&["table", "--servers", "200", "--change=-s-7", "--change=+s-new", "--json"]));
     assert_eq!(out, again);
-    let (_, none, _) = ended(&run(&["table", "--servers", "9", "--change", "-s-7,+s-7"]));
-    assert!(none.contains("the change moves 0 slots (0.00%), none the least possible, 0"), "{none}");
+    let (_, unchanged, _) = exit_and_output(&run(&["table", "--servers", "9", "--change", "-s-7,+s-7"]));
+    let expected = "the change moves 0 slots (0.00%); lowest possible number 0, ratio none";
+    assert!(unchanged.contains(expected), "{unchanged}");
 }
 
 #[test]
-fn a_list_comes_by_standard_input_too() {
+fn the_list_can_be_read_from_standard_input() {
     let mut child = command(&["table", "-", "--even"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let list = std::fs::read(example("targets.json")).unwrap();
+    let list = std::fs::read(example_path("targets.json")).unwrap();
     child.stdin.take().unwrap().write_all(&list).unwrap();
-    let (code, out, _) = ended(&child.wait_with_output().unwrap());
+    let (code, out, _) = exit_and_output(&child.wait_with_output().unwrap());
     assert_eq!(code, 0);
     assert!(out.lines().nth(1).unwrap().split_whitespace().any(|word| word == "5460.3"), "{out}");
 }
 
 #[test]
-fn wrong_use_gets_2_and_says_what_to_do() {
-    let targets = example("targets.json");
-    let (_dir, no_list) = file("list.json", "[1, 2]");
-    for (args, said) in [
+fn incorrect_usage_exits_with_2_and_names_the_problem() {
+    let targets = example_path("targets.json");
+    let (_dir, no_list) = temp_file("list.json", "[1, 2]");
+    for (args, expected) in [
         (vec!["table"], "<FILE|--servers <N>>"),
         (vec!["table", "--servers", "0"], "0 is not in 1..=16381"),
         (vec!["table", &targets, "--change", "s-1"], "--change 's-1': expected +ID, +ID=SIZE or -ID"),
@@ -159,74 +168,74 @@
         (vec!["--log-filter", "a=b=c", "table", &targets], "log filter 'a=b=c'"),
         (vec!["nonsense"], "unrecognized subcommand"),
     ] {
-        let (code, out, err) = ended(&run(&args));
+        let (code, out, err) = exit_and_output(&run(&args));
         assert_eq!(code, 2, "{args:?}: {out}{err}");
-        assert!(err.contains(said), "{args:?}: {err}");
+        assert!(err.contains(expected), "{args:?}: {err}");
     }
-    let (code, _, err) = ended(&run(&["table", "--servers", "1", "--change", "-s-0"]));
+    let (code, _, err) = exit_and_output(&run(&["table", "--servers", "1", "--change", "-s-0"]));
     assert_eq!((code, err.as_str()), (1, "fircroft: no server is in service\n"));
 }
 
 #[test]
-fn flags_come_before_variables_and_these_before_the_file() {
-    let (_dir, path) = file("fircroft.toml", "log_format = \"json\"\nlog_filter = \"debug\"\n");
-    let check = ["--config", path.to_str().unwrap(), "check", "config", &example("config.json")];
-    let logged = |output: Output| text(&output.stderr);
-    let from_file = logged(command(&check).output().unwrap());
+fn flags_override_variables_and_variables_override_the_file() {
+    let (_dir, path) = temp_file("fircroft.toml", "log_format = \"json\"\nlog_filter = \"debug\"\n");
+    let check = ["--config", path.to_str().unwrap(), "check", "config", &example_path("config.json")];
+    let log_of = |output: Output| text(&output.stderr);
+    let from_file = log_of(command(&check).output().unwrap());
     let lines: Vec<Value> = from_file.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     assert!(lines.iter().any(|line| line["fields"]["findings"] == 0), "{from_file}");
-    assert_eq!(logged(command(&check).env("FIRCROFT_LOG_FILTER", "warn").output().unwrap()), "");
+    assert_eq!(log_of(command(&check).env("FIRCROFT_LOG_FILTER", "warn").output().unwrap()), "");
     assert_eq!(
-        logged(command(&check).env("RUST_LOG", "trace").output().unwrap()).lines().count(),
+        log_of(command(&check).env("RUST_LOG", "trace").output().unwrap()).lines().count(),
         lines.len()
     );
     let flag = [&["--log-filter", "debug", "--log-format", "text"], &check[..]].concat();
-    let as_text = logged(command(&flag).env("FIRCROFT_LOG_FILTER", "warn").output().unwrap());
+    let as_text = log_of(command(&flag).env("FIRCROFT_LOG_FILTER", "warn").output().unwrap());
     assert!(as_text.contains("DEBUG") && !as_text.starts_with('{'), "{as_text}");
 }
 
 #[test]
-fn a_wrong_configuration_of_the_program_names_its_place() {
-    let (_dir, path) = file("fircroft.toml", "log_form = \"json\"\n");
+fn an_invalid_configuration_of_the_program_names_the_source() {
+    let (_dir, path) = temp_file("fircroft.toml", "log_form = \"json\"\n");
     let path = path.to_str().unwrap();
-    let (code, _, err) = ended(&run(&["--config", path, "table", "--servers", "2"]));
+    let (code, _, err) = exit_and_output(&run(&["--config", path, "table", "--servers", "2"]));
     assert_eq!(code, 2);
     assert!(err.contains("unknown field: found `log_form`") && err.contains("fircroft.toml"), "{err}");
     let output = command(&["table", "--servers", "2"]).env("FIRCROFT_LOG_FORMAT", "xml").output().unwrap();
-    let (code, _, err) = ended(&output);
+    let (code, _, err) = exit_and_output(&output);
     assert_eq!(code, 2);
     assert!(err.contains("xml") && err.contains("\"LOG_FORMAT\" in `FIRCROFT_` environment"), "{err}");
-    let (code, _, err) = ended(&run(&["--config", "no-such.toml", "table", "--servers", "2"]));
+    let (code, _, err) = exit_and_output(&run(&["--config", "no-such.toml", "table", "--servers", "2"]));
     assert_eq!(code, 1);
     assert!(err.contains("no-such.toml"), "{err}");
 }
 
 #[test]
-fn it_says_its_version_and_completes() {
-    let (code, out, _) = ended(&run(&["--version"]));
+fn the_version_the_completions_and_the_help_are_printed() {
+    let (code, out, _) = exit_and_output(&run(&["--version"]));
     assert!(code == 0 && out.starts_with("fircroft 0.1.0 (commit "), "{out}");
     for shell in ["bash", "zsh", "fish"] {
-        let (code, out, _) = ended(&run(&["completions", shell]));
+        let (code, out, _) = exit_and_output(&run(&["completions", shell]));
         assert!(code == 0 && out.contains("fircroft") && out.contains("servers"), "{shell}");
     }
-    let (_, out, _) = ended(&run(&["table", "--help"]));
+    let (_, out, _) = exit_and_output(&run(&["table", "--help"]));
     assert!(out.contains("Examples:"), "{out}");
 }
 
 #[test]
-fn a_reader_that_goes_away_is_no_failure() {
+fn a_closed_output_pipe_is_not_a_failure() {
     for args in [&["table", "--servers", "16381"][..], &["table", "--servers", "16381", "--json"]] {
         let mut child = command(args).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
         let mut output = child.stdout.take().unwrap();
         output.read_exact(&mut [0; 16]).unwrap();
         drop(output);
-        let (code, _, err) = ended(&child.wait_with_output().unwrap());
+        let (code, _, err) = exit_and_output(&child.wait_with_output().unwrap());
         assert_eq!((code, err.as_str()), (0, ""), "{args:?}");
     }
 }
 
 #[test]
-fn the_counts_of_a_fleet_are_added_up() {
+fn counts_of_all_logs_are_added_up() {
     let dir = tempfile::tempdir().unwrap();
     let line = |counts: &str| format!("{{\"fields\":{{\"message\":\"counts\",\"counts\":\"{counts}\"}}}}\n");
     std::fs::write(dir.path().join("n0.log"), line("requests=1") + &line("requests=30 served=20 dialled=9"))
@@ -234,16 +243,16 @@
     std::fs::write(dir.path().join("n1.log"), line("requests=10 served=10 ok=10 reused=10")).unwrap();
     std::fs::write(dir.path().join("n2.log"), "killed at its start\n").unwrap();
     let logs = dir.path().to_str().unwrap();
-    let (code, out, _) = ended(&run(&["fleet", logs]));
+    let (code, out, _) = exit_and_output(&run(&["fleet", logs]));
     assert_eq!(code, 0);
     assert!(out.contains("2 nodes, 2 processes, 1 logs without counts"), "{out}");
     assert!(out.contains("busiest node 1.50 times the mean"), "{out}");
     assert!(out.contains("requests 40\n  served                  30   75.0%\n"), "{out}");
-    assert!(out.contains("a request: 0.250 attempts, 0.225 new connections, 0.000 probes"), "{out}");
-    let (_, out, _) = ended(&run(&["fleet", "--json", logs]));
+    assert!(out.contains("per request: 0.250 attempts, 0.225 new connections, 0.000 probes"), "{out}");
+    let (_, out, _) = exit_and_output(&run(&["fleet", "--json", logs]));
     assert_eq!(serde_json::from_str::<Value>(&out).unwrap()["counts"]["dialled"], 9);
-    let (code, _, err) = ended(&run(&["fleet", dir.path().join("n2.log").to_str().unwrap()]));
+    let (code, _, err) = exit_and_output(&run(&["fleet", dir.path().join("n2.log").to_str().unwrap()]));
     assert!(code == 2 && err.contains("RUST_LOG=woodgap::counts=debug"), "{err}");
-    let (code, _, err) = ended(&run(&["fleet", "no-such-folder"]));
+    let (code, _, err) = exit_and_output(&run(&["fleet", "no-such-folder"]));
     assert!(code == 1 && err.contains("no-such-folder"), "{err}");
 }
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/woodgap-simhost/main.rs
@@ -1,4 +1,9 @@
-//! Hosts one [`woodgap::Balancer`] per node on the simulator's wire. It decides nothing.
+//! Adapter between the simulator and the decision module: runs one [`woodgap::Balancer`] for each simulated node
+//! and translates between its events and actions and the simulator's lines. It makes no decisions.
+//!
+//! Standard input has batches of lines from `BEGIN_BATCH` to `EOF_BATCH`. The actions of a batch and its `END`
+//! line are written to standard output when the batch ends. On invalid input the program stops with one line on
+//! standard error and exit code 1.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -9,122 +14,129 @@
 use std::rc::Rc;
 
 use wire::Fields;
-use woodgap::settings::{self, Fault, Pairs, Zones};
+use woodgap::settings::{self, InputError, RequestNames, SettingPairs, ZoneIds};
 use woodgap::{Action, Balancer, Event, Member, Micros};
 
-/// One node: its module and how its words read on the wire.
-struct Instance {
+/// Size of the buffers for standard input and output.
+const IO_BUFFER_BYTES: usize = 1 << 18;
+/// Memory is reserved up front for this many entries of a list at most, whatever count the input names.
+const MAX_RESERVED_MEMBERS: usize = 4096;
+
+/// A running node: its decision module, and the names that its requests use.
+struct Node {
     balancer: Balancer,
-    names: settings::Names,
+    request_names: RequestNames,
 }
 
-/// All that lives between two lines.
+/// The state that persists from line to line.
 #[derive(Default)]
 struct Host {
-    instances: HashMap<u64, Instance>,
-    pools: HashMap<u64, Rc<Vec<Member>>>,
-    zones: Zones,
+    nodes: HashMap<u64, Node>,
+    /// Server lists from `POOL` lines, by the number that the simulator gave them.
+    server_lists: HashMap<u64, Rc<Vec<Member>>>,
+    zone_ids: ZoneIds,
     now: Micros,
     batch: u64,
-    /// The instance that events go to.
-    current: Option<u64>,
-    /// The instance that the reply named last.
-    named: Option<u64>,
-    in_batch: bool,
+    is_in_batch: bool,
+    /// The node to which events go, as set by the last `CONTEXT` line.
+    context_node: Option<u64>,
+    /// The node that the last `ON_BEHALF` line of the output names.
+    output_node: Option<u64>,
     actions: Vec<Action>,
 }
 
-/// What a line asked for beyond an event.
-enum Step {
-    Go,
-    Flush,
+/// What the main loop does after a line.
+enum AfterLine {
+    Continue,
+    FlushOutput,
 }
 
 impl Host {
-    fn line<R: BufRead, W: Write>(
+    /// Handles a line of the input; a `POOL` line consumes the lines of its entries as well.
+    fn handle_line<R: BufRead, W: Write>(
         &mut self,
         line: &str,
         input: &mut Lines<R>,
         out: &mut W,
-    ) -> Result<Step, Fault> {
-        let mut f = Fields::new(line);
-        let word = f.text("message")?;
-        if !self.in_batch {
-            if word != "BEGIN_BATCH" {
-                return Err(Fault::new(format!("'{word}' outside a batch")));
+    ) -> Result<AfterLine, InputError> {
+        let mut fields = Fields::new(line);
+        let message = fields.text("message")?;
+        if !self.is_in_batch {
+            if message != "BEGIN_BATCH" {
+                return Err(InputError::new(format!("'{message}' outside a batch")));
             }
-            self.now = f.number("time")?;
-            self.batch = f.number("batch")?;
-            f.end()?;
-            (self.current, self.named, self.in_batch) = (None, None, true);
-            return Ok(Step::Go);
+            self.now = fields.number("time")?;
+            self.batch = fields.number("batch")?;
+            fields.expect_end()?;
+            (self.context_node, self.output_node, self.is_in_batch) = (None, None, true);
+            return Ok(AfterLine::Continue);
         }
-        match word {
+        match message {
             "EOF_BATCH" => {
-                f.end()?;
+                fields.expect_end()?;
                 writeln!(out, "END {}", self.batch)?;
-                self.in_batch = false;
-                return Ok(Step::Flush);
+                self.is_in_batch = false;
+                return Ok(AfterLine::FlushOutput);
             }
             "CONTEXT" => {
-                self.current = Some(f.number("node")?);
-                f.end()?;
+                self.context_node = Some(fields.number("node")?);
+                fields.expect_end()?;
             }
             "POOL" => {
-                let list = f.number("list")?;
-                let count: usize = f.number("members-list")?;
-                f.end()?;
-                let mut members = Vec::with_capacity(count.min(4096));
+                let list = fields.number("list")?;
+                let count: usize = fields.number("members-list")?;
+                fields.expect_end()?;
+                let mut members = Vec::with_capacity(count.min(MAX_RESERVED_MEMBERS));
                 for _ in 0..count {
-                    let text =
-                        input.next_line()?.ok_or_else(|| Fault::new("end of input inside a list".into()))?;
-                    members.push(wire::member(text, &mut self.zones)?);
+                    let line = input
+                        .next_line()?
+                        .ok_or_else(|| InputError::new("end of input inside a list".into()))?;
+                    members.push(wire::parse_member(line, &mut self.zone_ids)?);
                 }
-                self.pools.insert(list, Rc::new(members));
+                self.server_lists.insert(list, Rc::new(members));
             }
             "SPAWN" => {
-                let node = self.node()?;
-                let seed = f.number("nonce64")?;
-                let (settings, names) = settings::read(&Pairs::from_line(f.rest())?)?;
+                let node = self.context_node()?;
+                let seed = fields.number("nonce64")?;
+                let pairs = SettingPairs::parse_line(fields.take_rest())?;
+                let (settings, request_names) = settings::parse_settings(&pairs)?;
                 let balancer = Balancer::new(settings, seed);
-                self.instances.insert(node, Instance { balancer, names });
+                self.nodes.insert(node, Node { balancer, request_names });
             }
             "DOWN" => {
-                f.end()?;
-                let node = self.node()?;
-                if self.instances.remove(&node).is_none() {
-                    return Err(Fault::new(format!("node {node} was never started")));
+                fields.expect_end()?;
+                let node = self.context_node()?;
+                if self.nodes.remove(&node).is_none() {
+                    return Err(never_started(node));
                 }
             }
             _ => {
-                let node = self.node()?;
-                let instance = self
-                    .instances
-                    .get_mut(&node)
-                    .ok_or_else(|| Fault::new(format!("node {node} was never started")))?;
-                let event = wire::event(word, &mut f, &instance.names, &self.pools)?;
-                f.end()?;
-                self.deliver(node, event, out)?;
+                let id = self.context_node()?;
+                let node = self.nodes.get_mut(&id).ok_or_else(|| never_started(id))?;
+                let event = wire::parse_event(message, &mut fields, &node.request_names, &self.server_lists)?;
+                fields.expect_end()?;
+                self.deliver(id, event, out)?;
             }
         }
-        Ok(Step::Go)
+        Ok(AfterLine::Continue)
     }
 
-    fn node(&self) -> Result<u64, Fault> {
-        self.current.ok_or_else(|| Fault::new("an event before any CONTEXT".into()))
+    fn context_node(&self) -> Result<u64, InputError> {
+        self.context_node.ok_or_else(|| InputError::new("an event before any CONTEXT".into()))
     }
 
-    fn deliver<W: Write>(&mut self, node: u64, event: Event, out: &mut W) -> Result<(), Fault> {
-        let Some(instance) = self.instances.get_mut(&node) else {
+    /// Passes an event to the node and writes the node's actions.
+    fn deliver<W: Write>(&mut self, id: u64, event: Event, out: &mut W) -> Result<(), InputError> {
+        let Some(node) = self.nodes.get_mut(&id) else {
             return Ok(());
         };
-        instance.balancer.on_event(self.now, event, &mut self.actions);
+        node.balancer.on_event(self.now, event, &mut self.actions);
         if self.actions.is_empty() {
             return Ok(());
         }
-        if self.named != Some(node) {
-            writeln!(out, "ON_BEHALF {node}")?;
-            self.named = Some(node);
+        if self.output_node != Some(id) {
+            writeln!(out, "ON_BEHALF {id}")?;
+            self.output_node = Some(id);
         }
         for action in self.actions.drain(..) {
             wire::write_action(out, &action)?;
@@ -133,7 +145,11 @@
     }
 }
 
-/// Input by lines, counted for messages.
+fn never_started(node: u64) -> InputError {
+    InputError::new(format!("node {node} was never started"))
+}
+
+/// Reads the input line by line and counts the lines for error messages.
 struct Lines<R> {
     input: R,
     buffer: String,
@@ -141,7 +157,7 @@
 }
 
 impl<R: BufRead> Lines<R> {
-    fn next_line(&mut self) -> Result<Option<&str>, Fault> {
+    fn next_line(&mut self) -> Result<Option<&str>, InputError> {
         self.buffer.clear();
         self.number += 1;
         if self.input.read_line(&mut self.buffer)? == 0 {
@@ -151,12 +167,12 @@
     }
 }
 
-fn run<R: BufRead, W: Write>(input: &mut Lines<R>, out: &mut W) -> Result<(), Fault> {
+fn run<R: BufRead, W: Write>(input: &mut Lines<R>, out: &mut W) -> Result<(), InputError> {
     let mut host = Host::default();
     loop {
         let Some(line) = input.next_line()? else {
-            if host.in_batch {
-                return Err(Fault::new("end of input inside a batch".into()));
+            if host.is_in_batch {
+                return Err(InputError::new("end of input inside a batch".into()));
             }
             return Ok(());
         };
@@ -164,20 +180,20 @@
             continue;
         }
         let line = line.to_owned();
-        if let Step::Flush = host.line(&line, input, out)? {
+        if let AfterLine::FlushOutput = host.handle_line(&line, input, out)? {
             out.flush()?;
         }
     }
 }
 
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 18, io::stdin().lock());
+    let input = BufReader::with_capacity(IO_BUFFER_BYTES, io::stdin().lock());
     let mut lines = Lines { input, buffer: String::new(), number: 0 };
-    let mut out = BufWriter::with_capacity(1 << 18, io::stdout().lock());
+    let mut out = BufWriter::with_capacity(IO_BUFFER_BYTES, io::stdout().lock());
     match run(&mut lines, &mut out) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("woodgap-simhost: line {}: {fault}", lines.number);
+        Err(error) => {
+            eprintln!("woodgap-simhost: line {}: {error}", lines.number);
             ExitCode::FAILURE
         }
     }
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -1,4 +1,6 @@
-//! The wire's lines: events in, actions out.
+//! The simulator's line protocol: parses events and list entries, and writes actions.
+//!
+//! A line is a message name and fields, separated by single spaces. Field names occur in error messages only.
 
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -6,14 +8,13 @@
 use std::str::FromStr;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
+use woodgap::settings::{parse_finite, parse_number, parse_server_state, InputError, RequestNames, ZoneIds};
 use woodgap::{
     Action, AttemptEnd, CellId, ClassId, Event, Key, Member, Outcome, Request, RequestId, ServerId, SyncKind,
     TenantId, TimerId,
 };
 
-use woodgap::settings::{finite, number, server_state, Fault, Names, Zones};
-
-/// The parts of a line, taken from the left.
+/// The fields of a line, read from left to right.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -23,87 +24,90 @@
         Fields { rest: Some(line) }
     }
 
-    /// The next part, whatever it holds; `-` is an absent one.
-    fn part(&mut self, name: &str) -> Result<Option<&'a str>, Fault> {
-        let rest = self.rest.ok_or_else(|| Fault::new(format!("field '{name}' is missing")))?;
-        let (part, rest) = match rest.split_once(' ') {
-            Some((part, rest)) => (part, Some(rest)),
+    /// The next field; `None` if the field is empty or `-`, which marks an absent value.
+    fn next(&mut self, name: &str) -> Result<Option<&'a str>, InputError> {
+        let rest = self.rest.ok_or_else(|| InputError::new(format!("field '{name}' is missing")))?;
+        let (field, rest) = match rest.split_once(' ') {
+            Some((field, rest)) => (field, Some(rest)),
             None => (rest, None),
         };
         self.rest = rest;
-        Ok((part != "-" && !part.is_empty()).then_some(part))
+        Ok((field != "-" && !field.is_empty()).then_some(field))
     }
 
-    pub fn text(&mut self, name: &str) -> Result<&'a str, Fault> {
-        self.part(name)?.ok_or_else(|| Fault::new(format!("field '{name}' is empty")))
+    pub fn text(&mut self, name: &str) -> Result<&'a str, InputError> {
+        self.next(name)?.ok_or_else(|| InputError::new(format!("field '{name}' is empty")))
     }
 
-    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, Fault> {
-        self.part(name)?.map(|text| number(text, name)).transpose()
+    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, InputError> {
+        self.next(name)?.map(|text| parse_number(text, name)).transpose()
     }
 
-    pub fn number<T: FromStr>(&mut self, name: &str) -> Result<T, Fault> {
-        number(self.text(name)?, name)
+    pub fn number<T: FromStr>(&mut self, name: &str) -> Result<T, InputError> {
+        parse_number(self.text(name)?, name)
     }
 
-    fn flag(&mut self, name: &str) -> Result<bool, Fault> {
-        match self.part(name)? {
+    fn flag(&mut self, name: &str) -> Result<bool, InputError> {
+        match self.next(name)? {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(Fault::new(format!("field '{name}': '{other}' is not a bool"))),
+            Some(other) => Err(InputError::new(format!("field '{name}': '{other}' is not a boolean"))),
         }
     }
 
-    fn request(&mut self) -> Result<RequestId, Fault> {
+    fn request_id(&mut self) -> Result<RequestId, InputError> {
         let text = self.text("msg-id")?;
         let bytes = text
             .as_bytes()
             .try_into()
-            .map_err(|_| Fault::new(format!("field 'msg-id': '{text}' has not 36 characters")))?;
+            .map_err(|_| InputError::new(format!("field 'msg-id': '{text}' does not have 36 characters")))?;
         Ok(RequestId(bytes))
     }
 
-    fn load(&mut self) -> Result<Vec<f64>, Fault> {
-        match self.part("load")? {
+    /// Reads the values of a server's load report, separated by commas.
+    fn load(&mut self) -> Result<Vec<f64>, InputError> {
+        match self.next("load")? {
             None => Ok(Vec::new()),
-            Some(text) => text.split(',').map(|part| finite(part, "load")).collect(),
+            Some(text) => text.split(',').map(|value| parse_finite(value, "load")).collect(),
         }
     }
 
-    /// All that is left.
-    pub fn rest(&mut self) -> &'a str {
+    /// Takes all remaining fields as one text.
+    pub fn take_rest(&mut self) -> &'a str {
         self.rest.take().unwrap_or("")
     }
 
-    pub fn end(&mut self) -> Result<(), Fault> {
+    /// Fails if any field is left.
+    pub fn expect_end(&mut self) -> Result<(), InputError> {
         match self.rest.take() {
             None => Ok(()),
-            Some(rest) => Err(Fault::new(format!("more fields than expected: '{rest}'"))),
+            Some(rest) => Err(InputError::new(format!("more fields than expected: '{rest}'"))),
         }
     }
 }
 
-/// An `M` line.
-pub fn member(line: &str, zones: &mut Zones) -> Result<Member, Fault> {
-    let mut f = Fields::new(line);
-    match f.text("message")? {
+/// Parses an `M` line, an entry of a server list.
+pub fn parse_member(line: &str, zone_ids: &mut ZoneIds) -> Result<Member, InputError> {
+    let mut fields = Fields::new(line);
+    match fields.text("message")? {
         "M" => {}
-        other => return Err(Fault::new(format!("'{other}' where a list entry is due"))),
+        other => return Err(InputError::new(format!("'{other}' instead of a list entry"))),
     }
-    let server = ServerId(f.number("server")?);
-    let zone = zones.id(f.part("campus")?.unwrap_or(""));
-    f.part("kind")?;
-    let cell = CellId(f.optional("cluster")?.unwrap_or(0));
-    let state = f.text("state")?;
-    let state =
-        server_state(state).ok_or_else(|| Fault::new(format!("field 'state': '{state}' is unknown")))?;
-    let size = f.part("size")?.map_or(Ok(1.0), |text| finite(text, "size"))?;
-    let since = f.optional("since")?.unwrap_or(0);
-    f.end()?;
-    Ok(Member { server, zone, cell, state, size, started_at: since })
+    let server = ServerId(fields.number("server")?);
+    let zone = zone_ids.get_or_assign(fields.next("campus")?.unwrap_or(""));
+    // The decision module does not use the server's kind.
+    fields.next("kind")?;
+    let cell = CellId(fields.optional("cluster")?.unwrap_or(0));
+    let state = fields.text("state")?;
+    let state = parse_server_state(state)
+        .ok_or_else(|| InputError::new(format!("field 'state': '{state}' is unknown")))?;
+    let size = fields.next("size")?.map_or(Ok(1.0), |text| parse_finite(text, "size"))?;
+    let started_at = fields.optional("since")?.unwrap_or(0);
+    fields.expect_end()?;
+    Ok(Member { server, zone, cell, state, size, started_at })
 }
 
-fn outcome(text: &str) -> Result<Outcome, Fault> {
+fn parse_outcome(text: &str) -> Result<Outcome, InputError> {
     Ok(match text {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
@@ -113,109 +117,117 @@
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
         "moot" => Outcome::Moot,
-        other => return Err(Fault::new(format!("field 'reason': '{other}' is unknown"))),
+        other => return Err(InputError::new(format!("field 'reason': '{other}' is unknown"))),
     })
 }
 
-/// An event of an instance; the message name is read already.
-pub fn event(
-    word: &str,
-    f: &mut Fields<'_>,
-    names: &Names,
-    pools: &HashMap<u64, Rc<Vec<Member>>>,
-) -> Result<Event, Fault> {
-    Ok(match word {
-        "QUERY" => Event::Request(request(f, names)?),
+/// Parses the fields of an event for a node; `message` is the first word of the line.
+pub fn parse_event(
+    message: &str,
+    fields: &mut Fields<'_>,
+    request_names: &RequestNames,
+    server_lists: &HashMap<u64, Rc<Vec<Member>>>,
+) -> Result<Event, InputError> {
+    Ok(match message {
+        "QUERY" => Event::Request(parse_request(fields, request_names)?),
         "CLOSED_ATTEMPT" => Event::AttemptEnded(AttemptEnd {
-            id: f.request()?,
-            attempt: f.number("n")?,
-            server: ServerId(f.number("server")?),
-            outcome: outcome(f.text("reason")?)?,
-            elapsed: f.optional("spent")?.unwrap_or(0),
-            is_request_done: f.flag("done-flag")?,
-            load_report: f.load()?,
+            id: fields.request_id()?,
+            attempt: fields.number("n")?,
+            server: ServerId(fields.number("server")?),
+            outcome: parse_outcome(fields.text("reason")?)?,
+            elapsed: fields.optional("spent")?.unwrap_or(0),
+            is_request_done: fields.flag("done-flag")?,
+            load_report: fields.load()?,
         }),
-        "TIMEOUT_FIRED" => Event::TimerExpired(TimerId(f.number("ctx")?)),
-        "LAPSED" => Event::RequestEnded(f.request()?),
-        "SYNC" => sync(f, pools)?,
+        "TIMEOUT_FIRED" => Event::TimerExpired(TimerId(fields.number("ctx")?)),
+        "LAPSED" => Event::RequestEnded(fields.request_id()?),
+        "SYNC" => parse_sync(fields, server_lists)?,
         "STATUS_BACK" => Event::ProbeEnded {
-            server: ServerId(f.number("server")?),
-            outcome: outcome(f.text("reason")?)?,
-            elapsed: f.optional("spent")?.unwrap_or(0),
-            load_report: f.load()?,
+            server: ServerId(fields.number("server")?),
+            outcome: parse_outcome(fields.text("reason")?)?,
+            elapsed: fields.optional("spent")?.unwrap_or(0),
+            load_report: fields.load()?,
         },
         "STARTED" => {
-            let (id, attempt) = (f.request()?, f.number("n")?);
-            let _: u32 = f.number("server")?;
-            let _: Option<u64> = f.optional("spent")?;
+            let (id, attempt) = (fields.request_id()?, fields.number("n")?);
+            // The fields are checked, but the decision module does not use them.
+            let _: u32 = fields.number("server")?;
+            let _: Option<u64> = fields.optional("spent")?;
             Event::ResponseStarted { id, attempt }
         }
-        "MAIL" => Event::PeerMessage { from: f.number("origin-peer")?, data: bytes(f)? },
-        other => return Err(Fault::new(format!("unknown message '{other}'"))),
+        "MAIL" => Event::PeerMessage { from: fields.number("origin-peer")?, data: parse_bytes(fields)? },
+        other => return Err(InputError::new(format!("unknown message '{other}'"))),
     })
 }
 
-fn request(f: &mut Fields<'_>, names: &Names) -> Result<Request, Fault> {
-    let id = f.request()?;
-    f.flag("write")?;
-    let patience = f.number::<i64>("patience-left")?.max(0) as u64;
-    let class = f.text("category")?;
-    let class = names
-        .class(class)
+fn parse_request(fields: &mut Fields<'_>, request_names: &RequestNames) -> Result<Request, InputError> {
+    let id = fields.request_id()?;
+    // The flag is checked, but the decision module does not use it.
+    fields.flag("write")?;
+    let time_left = fields.number::<i64>("patience-left")?.max(0) as u64;
+    let class = fields.text("category")?;
+    let class = request_names
+        .class_index(class)
         .map(ClassId)
-        .ok_or_else(|| Fault::new(format!("field 'category': '{class}' is not in the settings")))?;
-    let cost = f.optional("cost-guess")?;
-    let repeat = f.flag("repeat")?;
-    let tenant = match f.part("party")? {
+        .ok_or_else(|| InputError::new(format!("field 'category': '{class}' is not in the settings")))?;
+    let cost = fields.optional("cost-guess")?;
+    let is_client_retry = fields.flag("repeat")?;
+    let tenant = match fields.next("party")? {
         None | Some("0") => None,
         Some(name) => Some(
-            names
-                .tenant(name)
+            request_names
+                .tenant_index(name)
                 .map(TenantId)
-                .ok_or_else(|| Fault::new(format!("field 'party': '{name}' is not in the settings")))?,
+                .ok_or_else(|| InputError::new(format!("field 'party': '{name}' is not in the settings")))?,
         ),
     };
-    let key = f.optional("resource")?.map(Key);
-    Ok(Request { id, time_left: patience, class, cost, is_client_retry: repeat, tenant, key })
+    let key = fields.optional("resource")?.map(Key);
+    Ok(Request { id, time_left, class, cost, is_client_retry, tenant, key })
 }
 
-fn sync(f: &mut Fields<'_>, pools: &HashMap<u64, Rc<Vec<Member>>>) -> Result<Event, Fault> {
-    let _: Option<u64> = f.optional("rev")?;
-    let kind = match f.text("how")? {
+fn parse_sync(
+    fields: &mut Fields<'_>,
+    server_lists: &HashMap<u64, Rc<Vec<Member>>>,
+) -> Result<Event, InputError> {
+    // The revision is checked, but the decision module does not use it.
+    let _: Option<u64> = fields.optional("rev")?;
+    let kind = match fields.text("how")? {
         "D" => SyncKind::Delta,
         "F" => SyncKind::Full,
         "C" => SyncKind::Cached,
         "X" => SyncKind::Failed,
-        other => return Err(Fault::new(format!("field 'how': '{other}' is unknown"))),
+        other => return Err(InputError::new(format!("field 'how': '{other}' is unknown"))),
     };
-    let list: Option<u64> = f.optional("list")?;
+    let list: Option<u64> = fields.optional("list")?;
     let members = match (kind, list) {
         (SyncKind::Failed, _) => Vec::new(),
-        (_, Some(list)) => match pools.get(&list) {
+        (_, Some(list)) => match server_lists.get(&list) {
             Some(members) => members.as_ref().clone(),
-            None => return Err(Fault::new(format!("field 'list': no list {list}"))),
+            None => return Err(InputError::new(format!("field 'list': no list {list}"))),
         },
-        (_, None) => return Err(Fault::new("field 'list' is empty".into())),
+        (_, None) => return Err(InputError::new("field 'list' is empty".into())),
     };
     Ok(Event::Sync { kind, members })
 }
 
-fn bytes(f: &mut Fields<'_>) -> Result<Vec<u8>, Fault> {
-    match f.part("contents")? {
+fn parse_bytes(fields: &mut Fields<'_>) -> Result<Vec<u8>, InputError> {
+    match fields.next("contents")? {
         None => Ok(Vec::new()),
-        Some(text) => STANDARD.decode(text).map_err(|e| Fault::new(format!("field 'contents': {e}"))),
+        Some(text) => {
+            STANDARD.decode(text).map_err(|error| InputError::new(format!("field 'contents': {error}")))
+        }
     }
 }
 
-/// An action, as its line.
+/// Writes an action as a line.
 pub fn write_action<W: Write>(out: &mut W, action: &Action) -> io::Result<()> {
     match action {
         Action::Send { id, server, timeout, .. } => {
-            writeln!(out, "DELIVER {} {} {timeout}", text(id), server.0)
+            writeln!(out, "DELIVER {} {} {timeout}", id_text(id), server.0)
         }
-        Action::Cancel { id, attempt } => writeln!(out, "CALL_OFF {} {attempt}", text(id)),
-        Action::Refuse { id, retry_after } => writeln!(out, "DECLINE {} {retry_after}", text(id)),
-        Action::Fail { id } => writeln!(out, "GIVE_UP {}", text(id)),
+        Action::Cancel { id, attempt } => writeln!(out, "CALL_OFF {} {attempt}", id_text(id)),
+        Action::Refuse { id, retry_after } => writeln!(out, "DECLINE {} {retry_after}", id_text(id)),
+        Action::Fail { id } => writeln!(out, "GIVE_UP {}", id_text(id)),
         Action::Probe(server) => writeln!(out, "INSPECT {}", server.0),
         Action::CloseIdleConnections(server) => writeln!(out, "FREE_LINKS {}", server.0),
         Action::SetTimer { delay, timer } => writeln!(out, "SET_ALARM {delay} {}", timer.0),
@@ -229,6 +241,6 @@
     }
 }
 
-fn text(id: &RequestId) -> &str {
+fn id_text(id: &RequestId) -> &str {
     std::str::from_utf8(&id.0).unwrap_or("-")
 }
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
-use woodgap::settings::Names;
+use woodgap::settings::RequestNames;
 use woodgap::{ClassId, Settings, TenantId};
 
 use crate::client_connection::{Conn, Phase, Socket, SLOW};
@@ -61,7 +61,7 @@
 /// What all client connections share.
 pub struct Clients {
     settings: Settings,
-    names: Names,
+    names: RequestNames,
     open_cap: usize,
     servers: Rc<Servers>,
     /// Sockets of clients, of all, and of clients that are only told to go.
@@ -88,7 +88,7 @@
 impl Clients {
     pub fn new(
         settings: Settings,
-        names: Names,
+        names: RequestNames,
         open_cap: usize,
         servers: Rc<Servers>,
         budgets: (Rc<SocketBudget>, Rc<SocketBudget>),
--- a/src/bin/woodgap/cold.rs
+++ b/src/bin/woodgap/cold.rs
@@ -48,7 +48,7 @@
     /// Notes a send.
     pub fn sent(&self, to: &Start<'_>) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        if unix.saturating_sub(to.since_ms) < self.ramp.span_ms {
+        if unix.saturating_sub(to.since_ms) < self.ramp.duration_ms {
             let mut sends = self.sends.borrow_mut();
             let fresh = || Sends { size: to.size, buckets: BTreeMap::new() };
             let Sends { buckets, .. } = sends.entry((to.id.to_owned(), to.since_ms)).or_insert_with(fresh);
@@ -70,7 +70,16 @@
             }
             cold.push(' ');
         }
-        let Ramp { start, span_ms, multiple, window_ms } = self.ramp;
-        tracing::debug!(target: "woodgap::cold", cold = cold.trim_end(), able, start, span_ms, multiple, window_ms, "cold");
+        let Ramp { start_capacity, duration_ms, overload_multiple, overload_window_ms } = self.ramp;
+        tracing::debug!(
+            target: "woodgap::cold",
+            cold = cold.trim_end(),
+            able,
+            start = start_capacity,
+            span_ms = duration_ms,
+            multiple = overload_multiple,
+            window_ms = overload_window_ms,
+            "cold"
+        );
     }
 }
--- a/src/bin/woodgap/discovery/keep.rs
+++ b/src/bin/woodgap/discovery/keep.rs
@@ -16,7 +16,7 @@
 
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep_until, timeout, Instant};
-use woodgap::list::List;
+use woodgap::list::ServerList;
 
 use super::Fault;
 
@@ -45,7 +45,7 @@
 
 /// An open watch: lists, and `None` for a sign of life without one.
 pub trait Feed {
-    async fn next(&mut self) -> Result<Option<List>, Fault>;
+    async fn next(&mut self) -> Result<Option<ServerList>, Fault>;
 }
 
 /// Keeps a watch open from a revision on and hands on what comes. `at` names the agent in the log.
@@ -55,7 +55,7 @@
     mut revision: u64,
     grace: Duration,
     answerer: Answerer,
-    mut tell: impl FnMut(List),
+    mut tell: impl FnMut(ServerList),
 ) where
     F: Feed + 'static,
     O: Future<Output = Result<F, Fault>> + 'static,
@@ -128,7 +128,7 @@
     open: &mut impl FnMut(u64) -> O,
     revision: u64,
     pace: &mut Pace,
-) -> (F, Option<List>)
+) -> (F, Option<ServerList>)
 where
     F: Feed + 'static,
     O: Future<Output = Result<F, Fault>> + 'static,
--- a/src/bin/woodgap/discovery/keep/tests.rs
+++ b/src/bin/woodgap/discovery/keep/tests.rs
@@ -9,10 +9,10 @@
 use super::*;
 
 /// A watch that says what it is sent, and ends with its sender.
-struct Script(UnboundedReceiver<Option<List>>);
+struct Script(UnboundedReceiver<Option<ServerList>>);
 
 impl Feed for Script {
-    async fn next(&mut self) -> Result<Option<List>, Fault> {
+    async fn next(&mut self) -> Result<Option<ServerList>, Fault> {
         self.0.recv().await.ok_or_else(|| "ended".into())
     }
 }
@@ -31,7 +31,7 @@
     plan: RefCell<VecDeque<Try>>,
     /// Tries as they began: when, and from which revision.
     begun: RefCell<Vec<(u128, u64)>>,
-    watches: RefCell<Vec<UnboundedSender<Option<List>>>>,
+    watches: RefCell<Vec<UnboundedSender<Option<ServerList>>>>,
     told: RefCell<Vec<(u128, Option<u64>)>>,
 }
 
@@ -55,8 +55,8 @@
     }
 }
 
-fn list(revision: u64) -> List {
-    List { revision: Some(revision), complete: true, entries: Vec::new() }
+fn list(revision: u64) -> ServerList {
+    ServerList { revision: Some(revision), is_complete: true, entries: Vec::new() }
 }
 
 /// Plays a time of the agent's with a watch kept on it.
@@ -144,7 +144,7 @@
     let agent = Rc::new(Agent { start: Some(Instant::now()), ..Agent::default() });
     let (opener, teller) = (agent.clone(), agent.clone());
     let open = move |revision| slow(opener.clone(), revision);
-    let tell = move |list: List| teller.told.borrow_mut().push((teller.now(), list.revision));
+    let tell = move |list: ServerList| teller.told.borrow_mut().push((teller.now(), list.revision));
     let keeping = timeout(
         Duration::from_secs(4),
         keep(&"here", open, 41, Duration::from_millis(500), Answerer::Agent, tell),
--- a/src/bin/woodgap/discovery/mod.rs
+++ b/src/bin/woodgap/discovery/mod.rs
@@ -17,7 +17,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
-use woodgap::list::List;
+use woodgap::list::ServerList;
 
 use crate::guards::AbortOnDrop;
 pub use keep::Answerer;
@@ -34,7 +34,7 @@
     revision: u64,
     grace: Duration,
     answerer: Answerer,
-    tell: impl FnMut(List),
+    tell: impl FnMut(ServerList),
 ) {
     keep::keep(&addr, |revision| open(addr, revision), revision, grace, answerer, tell).await;
 }
@@ -62,12 +62,14 @@
 }
 
 impl Feed for Watch {
-    async fn next(&mut self) -> Result<Option<List>, Fault> {
+    async fn next(&mut self) -> Result<Option<ServerList>, Fault> {
         loop {
             match self.lists.next()? {
                 Some(Item::Beat) => return Ok(None),
                 Some(Item::List(value)) => {
-                    return Ok(Some(List::from_value(&value).ok_or("an object that is no list")?));
+                    return Ok(Some(
+                        ServerList::parse_without_findings(&value).ok_or("an object that is no list")?,
+                    ));
                 }
                 None => {}
             }
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use tokio_util::time::{delay_queue, DelayQueue};
 use woodgap::config::Config;
-use woodgap::list::List;
+use woodgap::list::ServerList;
 use woodgap::{
     Action, AttemptEnd, Balancer, ClassId, DiscoveryMode, Event, Key, Micros, Outcome, Request, RequestId,
     ServerId, SyncKind, TenantId, TimerId,
@@ -74,7 +74,7 @@
     /// A list that a watch brought.
     News {
         watch: u64,
-        list: List,
+        list: ServerList,
     },
     Peer {
         from: u32,
@@ -179,7 +179,7 @@
     }
 
     /// Starts the module with the list that the node last had.
-    pub fn start(&mut self, known: &List) {
+    pub fn start(&mut self, known: &ServerList) {
         self.stand_on(known.revision.unwrap_or(0));
         let (_, members) = self.servers.apply(known);
         self.events.push_back(Event::Sync { kind: SyncKind::Cached, members });
@@ -370,7 +370,7 @@
         self.forget(id);
     }
 
-    fn news(&mut self, list: &List) {
+    fn news(&mut self, list: &ServerList) {
         #[cfg(feature = "faults")]
         if self.ignores(list) {
             return;
@@ -392,7 +392,7 @@
     /// A fault for tests, `WOODGAP_FAULT`. `stuck` or `liar`: it acts on no list but its first one, and says so or
     /// not. `crash`: it ends a moment after it acts on a list with the server `x-bad`.
     #[cfg(feature = "faults")]
-    fn ignores(&self, list: &List) -> bool {
+    fn ignores(&self, list: &ServerList) -> bool {
         let fault = std::env::var("WOODGAP_FAULT").unwrap_or_default();
         if fault == "crash" && list.entries.iter().any(|entry| entry.id == "x-bad") {
             spawn_local(async {
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -34,7 +34,7 @@
 use peers::Peers;
 use servers::Servers;
 use witness::Witness;
-use woodgap::config::{self, Config, OVERFLOW, OWN_DESCRIPTORS};
+use woodgap::config::{self, Config, REJECTION_CONNECTIONS, RESERVED_DESCRIPTORS};
 
 /// Clients' part of the sockets: requests in flight need as many to servers, and clients keep idle
 /// connections too.
@@ -49,22 +49,22 @@
     let listener = TcpListener::bind(config.listen).await?;
     let listen = listener.local_addr()?;
     let peers = match config.peer_listen {
-        Some(listen) => Some(Peers::bind(listen, config.peers.clone(), config.peers_all).await?),
+        Some(listen) => Some(Peers::bind(listen, config.peers.clone(), config.peer_broadcast).await?),
         None => None,
     };
     let (tx, rx) = mpsc::unbounded_channel();
-    let all = config.sockets.saturating_sub(OWN_DESCRIPTORS + OVERFLOW).max(2);
-    let servers = Servers::new(config.figures.clone(), SocketBudget::new(all));
-    let witness = config.audit.then(|| Witness::new(&config.name));
+    let all = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
+    let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(all));
+    let witness = config.is_audited.then(|| Witness::new(&config.name));
     let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
     let mut driver = Driver::new(&config, servers.clone(), peers.clone(), witness.clone(), tx.clone());
-    driver.start(&config.known);
+    driver.start(&config.cached_list);
     let clients = Clients::new(
         config.settings,
-        config.names,
-        config.figures.open_cap.min((config.memory / HELD_BYTES).max(1)),
+        config.request_names,
+        config.node_settings.max_open_requests.min((config.max_memory_bytes / HELD_BYTES).max(1)),
         servers,
-        (SocketBudget::new((all as f64 * CLIENTS) as usize), SocketBudget::new(OVERFLOW)),
+        (SocketBudget::new((all as f64 * CLIENTS) as usize), SocketBudget::new(REJECTION_CONNECTIONS)),
         witness.clone(),
         tx.clone(),
     );
@@ -82,7 +82,7 @@
     }
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            match read(&path).and_then(|text| Ok(config::discovery_of(&text)?)) {
+            match read(&path).and_then(|text| Ok(config::parse_discovery_address(&text)?)) {
                 Ok(addr) => {
                     info!(discovery = %addr, "configuration read again");
                     agent.set(addr);
@@ -117,7 +117,7 @@
         .filter_map(|(k, v)| Some((k.into_string().ok()?, v.into_string().ok()?)))
         .collect();
     let path = env.get("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?;
-    let (config, findings) = Config::read(&read(path)?, &env);
+    let (config, findings) = Config::parse(&read(path)?, &env);
     let config = config.ok_or_else(|| format!("{path}: {findings}"))?;
     log::start(&env)?;
     // All of it runs on this thread, so each line of the log has the name.
@@ -125,9 +125,9 @@
     for finding in findings.all() {
         warn!(path = finding.path, expected = finding.expected, found = finding.found, "left out");
     }
-    if !findings.assumed().is_empty() {
+    if !findings.defaults().is_empty() {
         let assumed: Vec<_> =
-            findings.assumed().iter().map(|(path, stands)| format!("{path}={stands}")).collect();
+            findings.defaults().iter().map(|(path, stands)| format!("{path}={stands}")).collect();
         warn!(assumed = assumed.join(" "), "not told by the settings");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
--- a/src/bin/woodgap/request.rs
+++ b/src/bin/woodgap/request.rs
@@ -5,7 +5,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode, Uri};
-use woodgap::settings::Names;
+use woodgap::settings::RequestNames;
 use woodgap::{Key, Micros, Semantics, Settings};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -54,7 +54,7 @@
         body: u64,
         chunked: bool,
         settings: &Settings,
-        names: &Names,
+        names: &RequestNames,
     ) -> Result<Head, Fault> {
         let headers = &head.headers;
         // The library drops a Content-Length beside it without a trace, so the two can't be told
@@ -82,11 +82,11 @@
         if txn.is_empty() || txn.len() > LONGEST_ID {
             return Err(bad("X-Txn is missing or too long\n"));
         }
-        let class = text("x-lane").ok().flatten().and_then(|name| names.class(name));
+        let class = text("x-lane").ok().flatten().and_then(|name| names.class_index(name));
         let class = class.ok_or(bad("X-Lane names no known class\n"))?;
         let tenant = match text("x-org").map_err(|_| bad("X-Org is not text\n"))? {
             None => None,
-            Some(name) => Some(names.tenant(name).ok_or(bad("X-Org names no known tenant\n"))?),
+            Some(name) => Some(names.tenant_index(name).ok_or(bad("X-Org names no known tenant\n"))?),
         };
         let class_of = &settings.classes[class];
         let (safe, keyed) = match class_of.semantics {
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -11,9 +11,9 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
 use tokio::time::{timeout_at, Instant};
-use woodgap::config::Figures;
-use woodgap::list::{server_number, List};
-use woodgap::settings::Zones;
+use woodgap::config::NodeSettings;
+use woodgap::list::{assign_server_number, ServerList};
+use woodgap::settings::ZoneIds;
 use woodgap::{CellId, Member, Outcome, ServerId, ServerState, SyncKind};
 
 use crate::cold::{ColdSends, Start};
@@ -59,19 +59,19 @@
 
 /// All servers on the list.
 pub struct Servers {
-    figures: Figures,
+    figures: NodeSettings,
     budget: Rc<SocketBudget>,
     entries: RefCell<HashMap<ServerId, Entry>>,
     names: RefCell<HashMap<u32, String>>,
     epochs: Cell<u64>,
-    zones: RefCell<Zones>,
+    zones: RefCell<ZoneIds>,
     cold: ColdSends,
     /// What the node has done so far.
     pub counts: Counts,
 }
 
 impl Servers {
-    pub fn new(figures: Figures, budget: Rc<SocketBudget>) -> Rc<Self> {
+    pub fn new(figures: NodeSettings, budget: Rc<SocketBudget>) -> Rc<Self> {
         Rc::new(Servers {
             budget,
             entries: RefCell::default(),
@@ -87,18 +87,18 @@
     // The list.
 
     /// Takes over a list and puts it in the module's words.
-    pub fn apply(&self, list: &List) -> (SyncKind, Vec<Member>) {
+    pub fn apply(&self, list: &ServerList) -> (SyncKind, Vec<Member>) {
         let mut entries = self.entries.borrow_mut();
         let mut names = self.names.borrow_mut();
         let mut zones = self.zones.borrow_mut();
         let mut members = Vec::with_capacity(list.entries.len());
         let mut in_service = Vec::new();
         for entry in &list.entries {
-            let number = server_number(&entry.id, &names);
+            let number = assign_server_number(&entry.id, &names);
             let server = ServerId(number);
             members.push(Member {
                 server,
-                zone: zones.id(&entry.zone),
+                zone: zones.get_or_assign(&entry.zone),
                 cell: CellId(entry.cell),
                 state: entry.state,
                 size: entry.size,
@@ -142,7 +142,7 @@
                 entry.idle.clear();
             }
         }
-        if list.complete {
+        if list.is_complete {
             let listed: std::collections::HashSet<ServerId> = members.iter().map(|m| m.server).collect();
             entries.retain(|server, _| listed.contains(server));
             names.retain(|&number, _| listed.contains(&ServerId(number)));
@@ -328,7 +328,7 @@
                     if allows_reuse {
                         self.keep(server, link);
                     }
-                    let load = parse_load_report(&headers, &self.figures.report);
+                    let load = parse_load_report(&headers, &self.figures.load_report_fields);
                     let outcome = classify_response(status, &headers);
                     let answer = (outcome == Outcome::Ok).then_some((headers, body));
                     return Ended { outcome, load, answer };
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -2,24 +2,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
-use woodgap::list::Entry as Listed;
+use woodgap::list::ListEntry;
 
 fn servers(sockets: usize) -> Rc<Servers> {
-    let figures = Figures {
+    let figures = NodeSettings {
         dial_timeout: Duration::from_secs(20),
         keepalive: Duration::from_secs(600),
         drain_grace: Duration::from_millis(500),
-        open_cap: 10,
-        report: vec!["queue".into(), "util".into()],
+        max_open_requests: 10,
+        load_report_fields: vec!["queue".into(), "util".into()],
         ramp: Default::default(),
     };
     Servers::new(figures, SocketBudget::new(sockets))
 }
 
-fn list(addr: SocketAddr, state: ServerState, complete: bool) -> List {
+fn list(addr: SocketAddr, state: ServerState, complete: bool) -> ServerList {
     let (id, zone) = ("s-1".into(), "a".into());
-    let entry = Listed { id, addr, zone, cell: 0, state, size: 1.0, up_since_ms: 0 };
-    List { revision: None, complete, entries: vec![entry] }
+    let entry = ListEntry { id, addr, zone, cell: 0, state, size: 1.0, up_since_ms: 0 };
+    ServerList { revision: None, is_complete: complete, entries: vec![entry] }
 }
 
 fn call() -> OutgoingRequest {
@@ -235,7 +235,7 @@
             tokio::task::yield_now().await;
             servers.apply(&match change {
                 "drains" => list(addr, ServerState::Terminating, false),
-                _ => List { revision: None, complete: true, entries: Vec::new() },
+                _ => ServerList { revision: None, is_complete: true, entries: Vec::new() },
             });
             let heard = listen(queued, listener);
             assert_eq!(waiting.await.unwrap(), Outcome::ConnectFailed);
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! A node's configuration, as the platform writes it: read once, with all that is wrong said at once.
+//! The configuration file of a node, as the platform writes it in JSON. It is parsed at the start, and all
+//! problems are reported together.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,106 +9,115 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::api::Settings;
-use crate::findings::{describe, quote, Findings};
-use crate::list::List;
-use crate::settings::{self, Names, Pairs, Reader};
+use crate::findings::{describe_value, quote, Findings};
+use crate::list::ServerList;
+use crate::settings::{self, RequestNames, SettingPairs, SettingsReader};
 
-/// Descriptors that are not sockets of clients or servers: the standard ones, the runtime's, the listener,
-/// discovery, the peers' socket, and some that the system has not closed yet.
-pub const OWN_DESCRIPTORS: usize = 24;
-/// Connections past the budget that are told so at a time.
-pub const OVERFLOW: usize = 16;
-/// What stands for a limit that the file does not name.
-const USUAL_SOCKETS: usize = 1024;
-const USUAL_MEMORY_MB: f64 = 128.0;
-/// What an address looks like.
-const ADDRESS: &str = "an address such as 10.0.0.4:5000";
+/// File descriptors reserved for everything but connections of clients and to servers: the standard streams, the
+/// runtime, the listener, discovery, the peer socket, and descriptors that the system has not closed yet.
+pub const RESERVED_DESCRIPTORS: usize = 24;
+/// Client connections beyond the budget that may be open at a time, only to tell the client that there is no room.
+pub const REJECTION_CONNECTIONS: usize = 16;
+/// Fewest descriptors that leave room for one connection of a client and one to a server.
+const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS + 2;
+/// Defaults of the limits that the file does not name.
+const DEFAULT_DESCRIPTORS: usize = 1024;
+const DEFAULT_MEMORY_MB: f64 = 128.0;
+const BYTES_PER_MB: u32 = 1 << 20;
+/// A valid address, as findings describe it.
+const EXPECTED_ADDRESS: &str = "an address such as 10.0.0.4:5000";
+/// Below this bound (about 2^53) every whole number has an exact `f64`.
+const MAX_EXACT_WHOLE: f64 = 9e15;
 
-/// All that a node is told at its start.
+/// The configuration of a node.
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the node, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the node accepts client connections.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Feeds its random choices.
+    /// Seed of the decision module's random choices.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
-    /// Bytes of memory that it may use.
-    pub memory: usize,
-    /// Where it hears its peers.
+    pub max_descriptors: usize,
+    /// Memory that the process may use.
+    pub max_memory_bytes: usize,
+    /// Address on which the node receives messages of its peers.
     pub peer_listen: Option<SocketAddr>,
-    /// Its peers, by number.
+    /// Addresses of the peers; the index is the peer's number.
     pub peers: Vec<SocketAddr>,
-    /// Where all of them are reached at once.
-    pub peers_all: Option<SocketAddr>,
-    /// Whether it says on which version of the list it acts: to its servers, and to the agent at `discovery`.
-    pub audit: bool,
-    /// The list as this node last had it.
-    pub known: List,
-    /// What the module is told.
+    /// Address that reaches all peers with one message.
+    pub peer_broadcast: Option<SocketAddr>,
+    /// Whether the node reports the list revision on which it acts, to its servers and to the agent at
+    /// `discovery`.
+    pub is_audited: bool,
+    /// The list that the node last had before this start.
+    pub cached_list: ServerList,
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The words that requests use for what is in the settings.
-    pub names: Names,
-    /// What the node itself goes by.
-    pub figures: Figures,
+    /// The names by which requests refer to classes and tenants.
+    pub request_names: RequestNames,
+    /// Settings of the node around the decision module.
+    pub node_settings: NodeSettings,
 }
 
-/// Figures of the settings that concern the node and not its decisions.
+/// The settings that concern the node's connections and memory and not its decisions.
 #[derive(Clone)]
-pub struct Figures {
-    /// A connection that is not up by then has failed.
+pub struct NodeSettings {
+    /// An attempt to connect to a server fails after this time.
     pub dial_timeout: Duration,
-    /// Servers close connections that stood idle for this long.
+    /// Servers close connections that were idle for this long.
     pub keepalive: Duration,
-    /// Sends to a draining server must have ended after this long.
+    /// Sending to a draining server must have ended after this time.
     pub drain_grace: Duration,
-    /// The most requests held at a time.
-    pub open_cap: usize,
-    /// The fields of a load report, in the module's order.
-    pub report: Vec<String>,
-    /// What cold servers bear.
+    /// Requests that the node holds at a time, at most.
+    pub max_open_requests: usize,
+    /// Names of the fields of a server's load report, in the order that the decision module expects.
+    pub load_report_fields: Vec<String>,
+    /// How the capacity of a cold server grows.
     pub ramp: Ramp,
 }
 
-/// What cold servers bear, by the settings.
+/// How the capacity of a cold server grows after its start, and what overloads it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
-    /// Part of its capacity that one has at its start, at the least.
-    pub start: f64,
-    /// It is warm after this time.
-    pub span_ms: u64,
-    /// Sent more than this multiple of its present capacity...
-    pub multiple: f64,
-    /// ...in this time, it falls over.
-    pub window_ms: u64,
+    /// Capacity of a server right after its start, as a part of its full capacity.
+    pub start_capacity: f64,
+    /// Time after the start until the server has its full capacity.
+    pub duration_ms: u64,
+    /// A cold server fails when it gets more than this multiple of its present capacity within
+    /// `overload_window_ms`.
+    pub overload_multiple: f64,
+    /// Length of the window over which an overload is counted.
+    pub overload_window_ms: u64,
 }
 
 impl Config {
-    /// Reads the file's text; the environment's words come before the file's. `None` where a node would not
-    /// start; the findings say why, and what a node that does start goes on without.
-    pub fn read(text: &str, env: &HashMap<String, String>) -> (Option<Config>, Findings) {
+    /// Parses the text of a configuration file; variables of `env` override the file. The configuration is
+    /// `None` if a node would not start with it. The findings are all errors and warnings, and the defaults that
+    /// are used.
+    pub fn parse(text: &str, env: &HashMap<String, String>) -> (Option<Config>, Findings) {
         let mut findings = Findings::default();
-        let Some(value) = parse(text, &mut findings) else { return (None, findings) };
-        let mut file = File { value: &value, env, findings };
-        let listen = file.address("listen", Some("BALANCER_LISTEN"), true);
-        let discovery = file.address("discovery", Some("BALANCER_DISCOVERY"), true);
-        let name = file.text("name");
-        let (sockets, memory) = file.limits();
-        let peer_listen = file.address("peer_listen", None, false);
-        let peers_all = file.address("peers_all", None, false);
-        let (peers, seed, known, audit) = (file.peers(), file.seed(), file.known(), file.audit());
+        let Some(value) = parse_object(text, &mut findings) else { return (None, findings) };
+        let mut file = ConfigFile { value: &value, env, findings };
+        let listen = file.read_address("listen", Some("BALANCER_LISTEN"), true);
+        let discovery = file.read_address("discovery", Some("BALANCER_DISCOVERY"), true);
+        let name = file.read_string("name");
+        let (max_descriptors, max_memory_bytes) = file.read_limits();
+        let peer_listen = file.read_address("peer_listen", None, false);
+        let peer_broadcast = file.read_address("peers_all", None, false);
+        let (peers, seed) = (file.read_peers(), file.read_seed());
+        let (cached_list, is_audited) = (file.read_cached_list(), file.read_audit_flag());
         let mut findings = file.findings;
-        let mut pairs = Pairs::default();
-        flatten("", "settings", value.get("settings").unwrap_or(&Value::Null), &mut pairs);
-        let mut reader = Reader::new(&pairs);
-        let (settings, names) = settings::parse(&mut reader);
-        let figures = Figures::read(&mut reader, &settings);
+        let mut pairs = SettingPairs::default();
+        flatten_settings("", "settings", value.get("settings").unwrap_or(&Value::Null), &mut pairs);
+        let mut reader = SettingsReader::new(&pairs);
+        let (settings, request_names) = settings::read_settings(&mut reader);
+        let node_settings = NodeSettings::read(&mut reader, &settings);
         findings.append(reader.findings);
-        plausible(value.get("settings"), &settings, &names, &mut findings);
-        let (Some(listen), Some(discovery), false) = (listen, discovery, findings.refused()) else {
+        check_settings(value.get("settings"), &settings, &request_names, &mut findings);
+        let (Some(listen), Some(discovery), false) = (listen, discovery, findings.has_errors()) else {
             return (None, findings);
         };
         let name = env.get("BALANCER_NAME").cloned().unwrap_or(name);
@@ -116,214 +126,242 @@
             listen,
             discovery,
             seed,
-            sockets,
-            memory,
+            max_descriptors,
+            max_memory_bytes,
             peer_listen,
             peers,
-            peers_all,
-            audit,
-            known,
+            peer_broadcast,
+            is_audited,
+            cached_list,
             settings,
-            names,
-            figures,
+            request_names,
+            node_settings,
         };
         (Some(config), findings)
     }
 }
 
-impl Figures {
-    fn read(reader: &mut Reader<'_>, settings: &Settings) -> Self {
-        let mut micros = |path, default| Duration::from_micros(reader.whole(path, default));
-        let dial_timeout = micros("bounds.dial-timeout", 250_000);
-        let keepalive = micros("bounds.keepalive", 15_000_000);
-        let drain_grace = micros("rules.stop-sending-within", 500_000);
+impl NodeSettings {
+    fn read(reader: &mut SettingsReader<'_>, settings: &Settings) -> Self {
+        let mut read_micros = |path, default| Duration::from_micros(reader.read_whole(path, default));
+        let dial_timeout = read_micros("bounds.dial-timeout", 250_000);
+        let keepalive = read_micros("bounds.keepalive", 15_000_000);
+        let drain_grace = read_micros("rules.stop-sending-within", 500_000);
         let ramp = Ramp {
-            start: settings.start_capacity,
-            span_ms: settings.ramp_time / 1_000,
-            multiple: settings.cold_overload_multiple,
-            window_ms: micros("rules.overload-for", 2_000_000).as_millis() as u64,
+            start_capacity: settings.start_capacity,
+            duration_ms: settings.ramp_time / 1_000,
+            overload_multiple: settings.cold_overload_multiple,
+            overload_window_ms: read_micros("rules.overload-for", 2_000_000).as_millis() as u64,
         };
-        Figures {
+        NodeSettings {
             dial_timeout,
             keepalive,
             drain_grace,
-            open_cap: reader.whole("bounds.open-cap", 20_000).clamp(1, 1 << 20) as usize,
-            report: reader.text("report.fields").unwrap_or("").split(',').map(str::to_owned).collect(),
+            max_open_requests: reader.read_whole("bounds.open-cap", 20_000).clamp(1, 1 << 20) as usize,
+            load_report_fields: reader
+                .text("report.fields")
+                .unwrap_or("")
+                .split(',')
+                .map(str::to_owned)
+                .collect(),
             ramp,
         }
     }
 }
 
-/// The address of discovery that a changed file names. On SIGHUP the file is what is new: the
-/// environment still holds the address of the start.
-pub fn discovery_of(text: &str) -> Result<SocketAddr, Findings> {
+/// Reads only the address of discovery, for a reload on SIGHUP. The file alone counts here: the environment still
+/// holds the address of the start.
+pub fn parse_discovery_address(text: &str) -> Result<SocketAddr, Findings> {
     let mut findings = Findings::default();
-    let Some(value) = parse(text, &mut findings) else { return Err(findings) };
-    let mut file = File { value: &value, env: &HashMap::new(), findings };
-    file.address("discovery", None, true).ok_or(file.findings)
+    let Some(value) = parse_object(text, &mut findings) else { return Err(findings) };
+    let mut file = ConfigFile { value: &value, env: &HashMap::new(), findings };
+    file.read_address("discovery", None, true).ok_or(file.findings)
 }
 
-fn parse(text: &str, findings: &mut Findings) -> Option<Value> {
+fn parse_object(text: &str, findings: &mut Findings) -> Option<Value> {
     match serde_json::from_str(text) {
         Ok(value @ Value::Object(_)) => return Some(value),
-        Ok(other) => findings.refuse("", "a JSON object", describe(Some(&other))),
-        Err(error) => findings.refuse("", "a JSON object", error.to_string()),
+        Ok(other) => findings.add_error("", "a JSON object", describe_value(Some(&other))),
+        Err(error) => findings.add_error("", "a JSON object", error.to_string()),
     }
     None
 }
 
-/// The file's own keys; unknown ones are ignored.
-struct File<'a> {
+/// The top-level keys of the configuration file; unknown keys are ignored.
+struct ConfigFile<'a> {
     value: &'a Value,
     env: &'a HashMap<String, String>,
     findings: Findings,
 }
 
-impl File<'_> {
-    /// The value at a key; one that is null is absent.
+impl ConfigFile<'_> {
+    /// The value of a key; null counts as absent.
     fn get(&self, key: &str) -> Option<&Value> {
         self.value.get(key).filter(|value| !value.is_null())
     }
 
-    fn refuse(&mut self, key: &str, expected: &str) {
-        self.findings.refuse(key, expected, describe(self.value.get(key)));
+    fn add_error(&mut self, key: &str, expected: &str) {
+        self.findings.add_error(key, expected, describe_value(self.value.get(key)));
     }
 
-    fn text(&mut self, key: &str) -> String {
+    fn read_string(&mut self, key: &str) -> String {
         match self.get(key) {
             None => String::new(),
             Some(Value::String(text)) => text.clone(),
             Some(_) => {
-                self.refuse(key, "a text");
+                self.add_error(key, "a string");
                 String::new()
             }
         }
     }
 
-    fn address(&mut self, key: &str, variable: Option<&str>, needed: bool) -> Option<SocketAddr> {
+    /// Reads an address; the environment variable, if it is set, overrides the file.
+    fn read_address(&mut self, key: &str, variable: Option<&str>, is_required: bool) -> Option<SocketAddr> {
         if let Some((variable, text)) = variable.and_then(|name| Some((name, self.env.get(name)?))) {
             let addr = text.parse().ok();
             if addr.is_none() {
-                self.findings.refuse(format!("${variable}"), ADDRESS, quote(text));
+                self.findings.add_error(format!("${variable}"), EXPECTED_ADDRESS, quote(text));
             }
             return addr;
         }
         match self.get(key) {
-            None if !needed => None,
+            None if !is_required => None,
             Some(Value::String(text)) if text.parse::<SocketAddr>().is_ok() => text.parse().ok(),
             _ => {
                 let or = variable.map_or(String::new(), |name| format!(", or ${name} set"));
-                self.refuse(key, &format!("{ADDRESS}{or}"));
+                self.add_error(key, &format!("{EXPECTED_ADDRESS}{or}"));
                 None
             }
         }
     }
 
-    fn limits(&mut self) -> (usize, usize) {
+    /// Reads the limits of the process: file descriptors, and bytes of memory.
+    fn read_limits(&mut self) -> (usize, usize) {
         let limits = self.get("limits").cloned().unwrap_or(Value::Object(Default::default()));
         if !limits.is_object() {
-            self.refuse("limits", "an object");
+            self.add_error("limits", "an object");
         }
         let (sockets, memory_mb) = (limits.get("sockets"), limits.get("memory_mb"));
-        let held = sockets.map_or(Some(USUAL_SOCKETS as u64), Value::as_u64);
-        let megabytes = memory_mb.map_or(Some(USUAL_MEMORY_MB), Value::as_f64);
-        let least = OWN_DESCRIPTORS + OVERFLOW + 2;
-        match held {
+        let descriptors = sockets.map_or(Some(DEFAULT_DESCRIPTORS as u64), Value::as_u64);
+        let megabytes = memory_mb.map_or(Some(DEFAULT_MEMORY_MB), Value::as_f64);
+        match descriptors {
             None => {
-                self.findings.refuse("limits.sockets", "a whole number of descriptors", describe(sockets))
+                let expected = "a whole number of descriptors";
+                self.findings.add_error("limits.sockets", expected, describe_value(sockets));
             }
-            Some(n) if n < least as u64 => {
-                self.findings.leave_out("limits.sockets", format!("at least {least}"), n.to_string())
+            Some(n) if n < MIN_DESCRIPTORS as u64 => {
+                self.findings.add_warning(
+                    "limits.sockets",
+                    format!("at least {MIN_DESCRIPTORS}"),
+                    n.to_string(),
+                );
             }
             Some(_) => {}
         }
         match megabytes {
-            None => self.findings.refuse("limits.memory_mb", "a number of megabytes", describe(memory_mb)),
-            Some(mb) if mb < 1.0 => self.findings.leave_out("limits.memory_mb", "at least 1", mb.to_string()),
+            None => {
+                let expected = "a number of megabytes";
+                self.findings.add_error("limits.memory_mb", expected, describe_value(memory_mb));
+            }
+            Some(mb) if mb < 1.0 => {
+                self.findings.add_warning("limits.memory_mb", "at least 1", mb.to_string());
+            }
             Some(_) => {}
         }
-        let memory = megabytes.unwrap_or(USUAL_MEMORY_MB).max(1.0) * f64::from(1 << 20);
-        (held.unwrap_or(USUAL_SOCKETS as u64) as usize, memory as usize)
+        let bytes = megabytes.unwrap_or(DEFAULT_MEMORY_MB).max(1.0) * f64::from(BYTES_PER_MB);
+        (descriptors.unwrap_or(DEFAULT_DESCRIPTORS as u64) as usize, bytes as usize)
     }
 
-    fn peers(&mut self) -> Vec<SocketAddr> {
+    fn read_peers(&mut self) -> Vec<SocketAddr> {
         let peers = match self.get("peers").cloned() {
             None => Vec::new(),
             Some(Value::Array(peers)) => peers,
             Some(_) => {
-                self.refuse("peers", "a list of addresses");
+                self.add_error("peers", "a list of addresses");
                 Vec::new()
             }
         };
-        let mut read = Vec::with_capacity(peers.len());
+        let mut addrs = Vec::with_capacity(peers.len());
         for (n, peer) in peers.iter().enumerate() {
             match peer.as_str().and_then(|text| text.parse().ok()) {
-                Some(addr) => read.push(addr),
-                None => self.findings.refuse(format!("peers[{n}]"), ADDRESS, describe(Some(peer))),
+                Some(addr) => addrs.push(addr),
+                None => self.findings.add_error(
+                    format!("peers[{n}]"),
+                    EXPECTED_ADDRESS,
+                    describe_value(Some(peer)),
+                ),
             }
         }
-        read
+        addrs
     }
 
-    fn seed(&mut self) -> u64 {
+    /// Reads the seed: a number, or a string of hexadecimal digits. Any other value is hashed.
+    fn read_seed(&mut self) -> u64 {
         match self.value.get("seed").unwrap_or(&Value::Null) {
             Value::String(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes())),
             other => {
                 if !other.is_number() {
-                    let expected = "hex text or a whole number, or all nodes draw alike";
-                    self.findings.leave_out("seed", expected, describe(self.value.get("seed")));
+                    let expected =
+                        "a hexadecimal string or a whole number (without a seed, all nodes make the \
+                        same random choices)";
+                    self.findings.add_warning("seed", expected, describe_value(self.value.get("seed")));
                 }
                 other.as_u64().unwrap_or_else(|| xxh3_64(other.to_string().as_bytes()))
             }
         }
     }
 
-    fn audit(&mut self) -> bool {
+    fn read_audit_flag(&mut self) -> bool {
         match self.get("audit") {
             None => false,
-            Some(Value::Bool(audit)) => *audit,
+            Some(Value::Bool(is_audited)) => *is_audited,
             Some(_) => {
-                self.refuse("audit", "true or false");
+                self.add_error("audit", "true or false");
                 false
             }
         }
     }
 
-    fn known(&mut self) -> List {
+    fn read_cached_list(&mut self) -> ServerList {
         match self.get("known").cloned() {
-            None => List::default(),
-            Some(value) => List::read(&value, "known", &mut self.findings).unwrap_or_default(),
+            None => ServerList::default(),
+            Some(value) => ServerList::parse(&value, "known", &mut self.findings).unwrap_or_default(),
         }
     }
 }
 
-/// Notes settings that can be read and make no sense.
-fn plausible(value: Option<&Value>, settings: &Settings, names: &Names, findings: &mut Findings) {
+/// Warns about settings that are valid one by one but make requests impossible to serve.
+fn check_settings(
+    value: Option<&Value>,
+    settings: &Settings,
+    request_names: &RequestNames,
+    findings: &mut Findings,
+) {
     if settings.classes.is_empty() {
-        let found = describe(value.and_then(|value| value.get("classes")));
-        findings.leave_out("settings.classes", "at least one class, or every request is refused", found);
+        let found = describe_value(value.and_then(|value| value.get("classes")));
+        findings.add_warning("settings.classes", "at least one class, or every request is refused", found);
     }
     for (n, class) in settings.classes.iter().enumerate() {
-        let at = |name: &str| format!("settings.classes[{n}].{name}");
+        let path = |name: &str| format!("settings.classes[{n}].{name}");
         if class.deadline == 0 {
-            findings.leave_out(at("deadline"), "a time above 0", "0");
+            findings.add_warning(path("deadline"), "a time above 0", "0");
         }
         if class.aim > class.deadline {
-            findings.leave_out(
-                at("aim"),
+            findings.add_warning(
+                path("aim"),
                 format!("at most the deadline, {}", class.deadline),
                 class.aim.to_string(),
             );
         }
     }
-    names.odd(findings);
+    request_names.check(findings);
 }
 
-/// Turns an object into the paths that the simulator's first message has: the items of a list of
-/// objects under their places with a count, a list of plain values joined by commas. `at` is its place in
-/// the file.
-fn flatten(path: &str, at: &str, value: &Value, pairs: &mut Pairs) {
-    let below = |name: &str| {
+/// Flattens a JSON value into the dotted paths of the simulator's `SPAWN` line: the items of a list of objects
+/// get their index as a path segment, next to a `count`; a list of scalars becomes one value joined by commas.
+/// `path` is the dotted path of the value and `json_path` its path in the file.
+fn flatten_settings(path: &str, json_path: &str, value: &Value, pairs: &mut SettingPairs) {
+    let child_path = |name: &str| {
         let name = name.replace('_', "-");
         if path.is_empty() {
             name
@@ -333,36 +371,41 @@
     };
     match value {
         Value::Object(map) => {
-            pairs.set_nested(path.to_owned(), at.to_owned(), "an object");
+            pairs.set_nested(path.to_owned(), json_path.to_owned(), "an object");
             for (name, value) in map {
-                flatten(&below(name), &format!("{at}.{name}"), value, pairs);
+                flatten_settings(&child_path(name), &format!("{json_path}.{name}"), value, pairs);
             }
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            pairs.set(below("count"), items.len().to_string(), Some(at.to_owned()));
-            pairs.set_nested(path.to_owned(), at.to_owned(), "a list of objects");
+            pairs.set(child_path("count"), items.len().to_string(), Some(json_path.to_owned()));
+            pairs.set_nested(path.to_owned(), json_path.to_owned(), "a list of objects");
             for (i, item) in items.iter().enumerate() {
-                flatten(&below(&i.to_string()), &format!("{at}[{i}]"), item, pairs);
+                flatten_settings(&child_path(&i.to_string()), &format!("{json_path}[{i}]"), item, pairs);
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().filter_map(plain).collect();
-            pairs.set(path.to_owned(), items.join(","), Some(at.to_owned()));
+            let items: Vec<String> = items.iter().filter_map(scalar_text).collect();
+            pairs.set(path.to_owned(), items.join(","), Some(json_path.to_owned()));
         }
         other => {
-            if let Some(text) = plain(other) {
-                pairs.set(path.to_owned(), text, Some(at.to_owned()));
+            if let Some(text) = scalar_text(other) {
+                pairs.set(path.to_owned(), text, Some(json_path.to_owned()));
             }
         }
     }
 }
 
-fn plain(value: &Value) -> Option<String> {
+/// The text of a string, number or boolean; `None` for any other value.
+fn scalar_text(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.clone()),
         Value::Number(number) => match number.as_f64() {
             // A whole number may be written as 5.0 or 1e6.
-            Some(real) if number.as_u64().is_none() && real.fract() == 0.0 && (0.0..9e15).contains(&real) => {
+            Some(real)
+                if number.as_u64().is_none()
+                    && real.fract() == 0.0
+                    && (0.0..MAX_EXACT_WHOLE).contains(&real) =>
+            {
                 Some((real as u64).to_string())
             }
             _ => Some(number.to_string()),
--- a/src/findings.rs
+++ b/src/findings.rs
@@ -1,32 +1,33 @@
-//! What is wrong with an input: all of it at once, each with its place, what was expected and what stands there.
+//! Problems found while parsing an input. A parser collects all of them, each with its path, what was expected
+//! and what was found, so that one run reports everything that has to be corrected.
 
 use std::fmt;
 
 use serde_json::Value;
 
-/// The longest text of an input that a finding repeats.
-const LONGEST_QUOTE: usize = 60;
+/// Characters of an input string that a finding repeats at most.
+const MAX_QUOTED_CHARS: usize = 60;
 
-/// What a finding means for the node that reads the input.
+/// What a finding means for a node that starts with the input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// It does not start.
-    Refused,
-    /// It starts and goes on without it, or with what stands for it otherwise.
-    LeftOut,
+pub enum Severity {
+    /// The node does not start.
+    Error,
+    /// The node starts. It ignores a value that it can't read, or uses the default; it keeps an implausible value.
+    Warning,
 }
 
-/// One thing that is wrong.
+/// One problem in an input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Its place in the input, as `settings.classes[0].aim`; empty for the whole of it.
+    /// Path of the value in the input, such as `settings.classes[0].aim`; empty for the whole input.
     pub path: String,
-    /// What was expected there.
+    /// Description of a valid value.
     pub expected: String,
-    /// What stands there.
+    /// Description of the value that was found.
     pub found: String,
-    /// What follows from it.
-    pub effect: Effect,
+    /// What the problem means for a node.
+    pub severity: Severity,
 }
 
 impl fmt::Display for Finding {
@@ -36,64 +37,70 @@
     }
 }
 
-/// The findings of one reading, in the order in which they were met.
+/// All findings of one input in the order in which the parser added them, and the defaults that it used.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
-    wrong: Vec<Finding>,
-    assumed: Vec<(String, String)>,
+    findings: Vec<Finding>,
+    defaults: Vec<(String, String)>,
 }
 
 impl Findings {
-    /// Notes something that keeps a node from starting.
-    pub fn refuse(&mut self, path: impl Into<String>, expected: impl Into<String>, found: impl Into<String>) {
-        self.note(path.into(), expected.into(), found.into(), Effect::Refused);
+    /// Adds a problem that keeps a node from starting.
+    pub fn add_error(
+        &mut self,
+        path: impl Into<String>,
+        expected: impl Into<String>,
+        found: impl Into<String>,
+    ) {
+        self.add(path.into(), expected.into(), found.into(), Severity::Error);
     }
 
-    /// Notes something that a node goes on without.
-    pub fn leave_out(
+    /// Adds a problem in spite of which a node starts.
+    pub fn add_warning(
         &mut self,
         path: impl Into<String>,
         expected: impl Into<String>,
         found: impl Into<String>,
     ) {
-        self.note(path.into(), expected.into(), found.into(), Effect::LeftOut);
+        self.add(path.into(), expected.into(), found.into(), Severity::Warning);
     }
 
-    fn note(&mut self, path: String, expected: String, found: String, effect: Effect) {
-        self.wrong.push(Finding { path, expected, found, effect });
+    fn add(&mut self, path: String, expected: String, found: String, severity: Severity) {
+        self.findings.push(Finding { path, expected, found, severity });
     }
 
-    /// Notes what stands for a setting that the input does not tell: nothing is wrong, and nothing is quiet.
-    pub fn assume(&mut self, path: impl Into<String>, stands: impl Into<String>) {
-        self.assumed.push((path.into(), stands.into()));
+    /// Records that a setting is absent and that `default` is used for it. This is not a problem, but it is
+    /// reported, so that no default applies unnoticed.
+    pub fn add_default(&mut self, path: impl Into<String>, default: impl Into<String>) {
+        self.defaults.push((path.into(), default.into()));
     }
 
-    /// The settings that were not told, and what stands for each.
-    pub fn assumed(&self) -> &[(String, String)] {
-        &self.assumed
+    /// The absent settings, each with its path and the default that is used.
+    pub fn defaults(&self) -> &[(String, String)] {
+        &self.defaults
     }
 
-    /// Adds those of another reading.
+    /// Appends the findings and defaults of `other`.
     pub fn append(&mut self, mut other: Findings) {
-        self.wrong.append(&mut other.wrong);
-        self.assumed.append(&mut other.assumed);
+        self.findings.append(&mut other.findings);
+        self.defaults.append(&mut other.defaults);
     }
 
-    /// Whether a node that reads this does not start.
-    pub fn refused(&self) -> bool {
-        self.wrong.iter().any(|finding| finding.effect == Effect::Refused)
+    /// Whether any finding keeps a node from starting.
+    pub fn has_errors(&self) -> bool {
+        self.findings.iter().any(|finding| finding.severity == Severity::Error)
     }
 
-    /// All of them.
+    /// All errors and warnings.
     pub fn all(&self) -> &[Finding] {
-        &self.wrong
+        &self.findings
     }
 }
 
-/// All findings, set apart by semicolons.
+/// All errors and warnings, separated by semicolons.
 impl fmt::Display for Findings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (n, finding) in self.wrong.iter().enumerate() {
+        for (n, finding) in self.findings.iter().enumerate() {
             write!(f, "{}{finding}", if n > 0 { "; " } else { "" })?;
         }
         Ok(())
@@ -102,23 +109,23 @@
 
 impl std::error::Error for Findings {}
 
-/// A text as findings repeat it: in quotes, cut where it is long.
+/// Quotes a string for a finding and truncates it after 60 characters.
 pub fn quote(text: &str) -> String {
-    match text.char_indices().nth(LONGEST_QUOTE) {
+    match text.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("'{}…'", &text[..end]),
         None => format!("'{text}'"),
     }
 }
 
-/// A value as findings repeat it.
-pub fn describe(value: Option<&Value>) -> String {
+/// Describes a JSON value for a finding; the value of an absent key is "nothing".
+pub fn describe_value(value: Option<&Value>) -> String {
     match value {
         None => "nothing".to_owned(),
         Some(Value::Null) => "null".to_owned(),
         Some(Value::Bool(flag)) => flag.to_string(),
         Some(Value::Number(number)) => number.to_string(),
         Some(Value::String(text)) => quote(text),
-        Some(Value::Array(items)) => format!("a list of {}", items.len()),
+        Some(Value::Array(items)) => format!("a list of {} items", items.len()),
         Some(Value::Object(_)) => "an object".to_owned(),
     }
 }
--- a/src/list.rs
+++ b/src/list.rs
@@ -1,4 +1,4 @@
-//! Discovery's list of servers, in the form of the protocol's `/api/targets`.
+//! The list of servers that discovery sends, in the JSON form of `GET /api/targets`.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -6,71 +6,76 @@
 use serde_json::Value;
 
 use crate::api::ServerState;
-use crate::findings::{describe, Findings};
-use crate::settings::server_state;
+use crate::findings::{describe_value, Findings};
+use crate::settings::parse_server_state;
 
-/// An entry of the list.
+/// A server on the list.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    /// The server's id, the same at every node.
+pub struct ListEntry {
+    /// Id of the server, the same at every node.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the server accepts connections.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone of the server; empty where the list names none.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the server; 0 where the list names none.
     pub cell: u64,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its weight against other servers.
+    /// Weight of the server relative to other servers; 1 where the list names none.
     pub size: f64,
-    /// When its process last started: Unix time in milliseconds; 0 is long ago.
+    /// Start of the server's process in Unix milliseconds; 0 means long ago.
     pub up_since_ms: u64,
 }
 
-/// A list, whole or only what changed.
+/// A complete list of servers, or the entries that changed since an earlier list.
 #[derive(Clone, Debug, Default)]
-pub struct List {
-    /// The list's version, where it says one.
+pub struct ServerList {
+    /// Revision of the list, if the list has one.
     pub revision: Option<u64>,
-    /// Whether a server that is absent has been removed.
-    pub complete: bool,
-    /// The entries that could be read.
-    pub entries: Vec<Entry>,
+    /// Whether the list has every server, so that an absent server has been removed.
+    pub is_complete: bool,
+    /// The valid entries.
+    pub entries: Vec<ListEntry>,
 }
 
-impl List {
-    /// Reads a list, `None` for what is no list. An entry that can't be read is left out, never the list:
-    /// one odd entry must not blind a node to all others. `path` is the value's place in its file.
-    pub fn read(value: &Value, path: &str, findings: &mut Findings) -> Option<List> {
+impl ServerList {
+    /// Parses a list; `None` if `value` is not a list at all. An invalid entry is skipped with a warning and the
+    /// rest of the list is used: one bad entry must not hide all other servers from a node. `path` is the path
+    /// of `value` in its file.
+    pub fn parse(value: &Value, path: &str, findings: &mut Findings) -> Option<ServerList> {
         let Some(members) = value.get("members").and_then(Value::as_array) else {
-            findings.leave_out(path, "an object with a list 'members'", describe(Some(value)));
+            findings.add_warning(path, "an object with a list 'members'", describe_value(Some(value)));
             return None;
         };
         let (revision, complete) = (value.get("revision"), value.get("complete"));
-        let mut whole = Fields { value, path, findings };
-        whole.odd("revision", revision.is_none_or(Value::is_u64), "a whole number");
-        whole.odd("complete", complete.is_none_or(Value::is_boolean), "true or false");
-        let read = |(n, member)| entry(member, &format!("{path}.members[{n}]"), findings);
-        let entries: Vec<Entry> = members.iter().enumerate().filter_map(read).collect();
+        let mut list_fields = Fields { value, path, findings };
+        list_fields.check("revision", revision.is_none_or(Value::is_u64), "a whole number");
+        list_fields.check("complete", complete.is_none_or(Value::is_boolean), "true or false");
+        let parse_member = |(n, member)| parse_entry(member, &format!("{path}.members[{n}]"), findings);
+        let entries: Vec<ListEntry> = members.iter().enumerate().filter_map(parse_member).collect();
         let mut ids = HashSet::new();
-        for twice in entries.iter().filter(|entry| !ids.insert(&entry.id)) {
-            findings.leave_out(format!("{path}.members"), "each id once", format!("'{}' again", twice.id));
+        for duplicate in entries.iter().filter(|entry| !ids.insert(&entry.id)) {
+            findings.add_warning(
+                format!("{path}.members"),
+                "unique ids",
+                format!("'{}' again", duplicate.id),
+            );
         }
-        Some(List {
+        Some(ServerList {
             revision: revision.and_then(Value::as_u64),
-            complete: complete.and_then(Value::as_bool).unwrap_or(false),
+            is_complete: complete.and_then(Value::as_bool).unwrap_or(false),
             entries,
         })
     }
 
-    /// Reads a list and passes over what is wrong with it.
-    pub fn from_value(value: &Value) -> Option<List> {
-        List::read(value, "", &mut Findings::default())
+    /// Parses a list and discards the findings; `None` if `value` is not a list at all.
+    pub fn parse_without_findings(value: &Value) -> Option<ServerList> {
+        ServerList::parse(value, "", &mut Findings::default())
     }
 }
 
-/// The fields of an object, and where to note what is wrong with them.
+/// An object whose fields are checked, its path, and the findings that the checks add to.
 struct Fields<'a> {
     value: &'a Value,
     path: &'a str,
@@ -78,40 +83,42 @@
 }
 
 impl Fields<'_> {
-    /// Notes a field that is not as expected; whether it is.
-    fn odd(&mut self, name: &str, good: bool, expected: &str) -> bool {
-        if !good {
-            let found = describe(self.value.get(name));
-            self.findings.leave_out(format!("{}.{name}", self.path), expected, found);
+    /// Adds a warning if the field is invalid; returns `is_valid`.
+    fn check(&mut self, name: &str, is_valid: bool, expected: &str) -> bool {
+        if !is_valid {
+            let found = describe_value(self.value.get(name));
+            self.findings.add_warning(format!("{}.{name}", self.path), expected, found);
         }
-        good
+        is_valid
     }
 }
 
-fn entry(value: &Value, path: &str, findings: &mut Findings) -> Option<Entry> {
+/// Parses an entry; `None` if a required field is missing or invalid. An optional field that is invalid only adds
+/// a warning, and gets its default if its type is wrong.
+fn parse_entry(value: &Value, path: &str, findings: &mut Findings) -> Option<ListEntry> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     if !value.is_object() {
-        findings.leave_out(path, "an object", describe(Some(value)));
+        findings.add_warning(path, "an object", describe_value(Some(value)));
         return None;
     }
     let (id, addr) = (text("id"), text("host_port").and_then(|addr| addr.parse().ok()));
-    let state = text("phase").and_then(server_state);
+    let state = text("phase").and_then(parse_server_state);
     let mut fields = Fields { value, path, findings };
-    // All that is wrong is noted, not only the first.
-    let mut good = fields.odd("id", id.is_some(), "a text");
-    good &= fields.odd("host_port", addr.is_some(), "an address such as 10.1.0.18:5000");
-    good &= fields.odd("phase", state.is_some(), "in_service, terminating or terminated");
-    let mut optional = |name: &str, is: fn(&Value) -> bool, expected: &str| {
-        fields.odd(name, value.get(name).is_none_or(is), expected);
+    // `&=` does not short-circuit: every invalid field is reported, not only the first.
+    let mut is_valid = fields.check("id", id.is_some(), "a string");
+    is_valid &= fields.check("host_port", addr.is_some(), "an address such as 10.1.0.18:5000");
+    is_valid &= fields.check("phase", state.is_some(), "in_service, terminating or terminated");
+    let mut check_optional = |name: &str, is_valid: fn(&Value) -> bool, expected: &str| {
+        fields.check(name, value.get(name).is_none_or(is_valid), expected);
     };
-    optional("locality", Value::is_string, "a text");
-    optional("cell", Value::is_u64, "a whole number");
-    optional("size", |size| size.as_f64().is_some_and(|size| size > 0.0), "a number above 0");
-    optional("up_since_ms", Value::is_u64, "Unix time in whole milliseconds");
-    if !good {
+    check_optional("locality", Value::is_string, "a string");
+    check_optional("cell", Value::is_u64, "a whole number");
+    check_optional("size", |size| size.as_f64().is_some_and(|size| size > 0.0), "a number above 0");
+    check_optional("up_since_ms", Value::is_u64, "Unix time in whole milliseconds");
+    if !is_valid {
         return None;
     }
-    Some(Entry {
+    Some(ListEntry {
         id: id?.to_owned(),
         addr: addr?,
         zone: text("locality").unwrap_or("").to_owned(),
@@ -122,9 +129,10 @@
     })
 }
 
-/// The module's number for a server's id: made from the id alone, as nodes that number servers
-/// differently build different tables, unless another server on the list has it.
-pub fn server_number(id: &str, taken: &HashMap<u32, String>) -> u32 {
+/// The number that stands for a server id in [`crate::ServerId`]. The number is a hash of the id alone, because
+/// nodes that number servers differently build different Maglev tables. Only if `taken` has the number for
+/// another id is the hash repeated with the next seed.
+pub fn assign_server_number(id: &str, taken: &HashMap<u32, String>) -> u32 {
     let mut seed = 0;
     loop {
         let number = xxhash_rust::xxh3::xxh3_64_with_seed(id.as_bytes(), seed) as u32;
@@ -140,7 +148,7 @@
     use super::*;
 
     #[test]
-    fn an_entry_that_cannot_be_read_is_left_out_alone_and_all_that_is_wrong_is_said() {
+    fn an_invalid_entry_is_skipped_and_every_problem_is_reported() {
         let value = serde_json::json!({"revision": 3, "complete": true, "members": [
             {"id": "s-1", "host_port": "127.0.0.1:1", "phase": "in_service"},
             {"id": "s-2", "host_port": "nowhere", "phase": "asleep"},
@@ -148,13 +156,13 @@
             {"id": "s-4", "host_port": "127.0.0.1:4", "phase": "terminating", "up_since_ms": 9, "size": -1},
         ]});
         let mut findings = Findings::default();
-        let list = List::read(&value, "known", &mut findings).unwrap();
-        let ids: Vec<&str> = list.entries.iter().map(|e| e.id.as_str()).collect();
+        let list = ServerList::parse(&value, "known", &mut findings).unwrap();
+        let ids: Vec<&str> = list.entries.iter().map(|entry| entry.id.as_str()).collect();
         assert_eq!(ids, ["s-1", "s-4"]);
-        assert!(list.complete && list.revision == Some(3));
-        let said: Vec<String> = findings.all().iter().map(ToString::to_string).collect();
+        assert!(list.is_complete && list.revision == Some(3));
+        let messages: Vec<String> = findings.all().iter().map(ToString::to_string).collect();
         assert_eq!(
-            said,
+            messages,
             [
                 "known.members[1].host_port: expected an address such as 10.1.0.18:5000, found 'nowhere'",
                 "known.members[1].phase: expected in_service, terminating or terminated, found 'asleep'",
@@ -162,14 +170,14 @@
                 "known.members[3].size: expected a number above 0, found -1",
             ]
         );
-        assert!(!findings.refused());
+        assert!(!findings.has_errors());
     }
 
     #[test]
     fn server_numbers_do_not_collide() {
-        let number = server_number("s-1", &HashMap::new());
+        let number = assign_server_number("s-1", &HashMap::new());
         let taken = HashMap::from([(number, "s-2".to_owned())]);
-        assert_ne!(server_number("s-1", &taken), number);
-        assert_eq!(server_number("s-1", &HashMap::from([(number, "s-1".to_owned())])), number);
+        assert_ne!(assign_server_number("s-1", &taken), number);
+        assert_eq!(assign_server_number("s-1", &HashMap::from([(number, "s-1".to_owned())])), number);
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings and the names of the outside world, read alike by every host of the module.
+//! Parsing of the decision module's settings and of names that requests and lists use, shared by the node and
+//! the simulator adapter.
 //!
-//! Settings are pairs of a dotted path and a value, with times in microseconds: as the
-//! simulator's `SPAWN` line holds them, or as a host flattens them from another form.
+//! Settings are pairs of a dotted path and a value, with times in microseconds: the form of the simulator's
+//! `SPAWN` line. The node flattens the `settings` object of its configuration file into the same pairs.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -10,58 +11,58 @@
 use crate::api::*;
 use crate::findings::{quote, Findings};
 
-/// What is wrong with an input.
+/// An error in an input, as a message for the user.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct InputError(String);
 
-impl Fault {
-    /// A fault of this text.
-    pub fn new(text: String) -> Self {
-        Fault(text)
+impl InputError {
+    /// An error with this message.
+    pub fn new(message: String) -> Self {
+        InputError(message)
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for InputError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for InputError {}
 
-impl From<std::io::Error> for Fault {
+impl From<std::io::Error> for InputError {
     fn from(error: std::io::Error) -> Self {
-        Fault(error.to_string())
+        InputError(error.to_string())
     }
 }
 
-impl From<Findings> for Fault {
+impl From<Findings> for InputError {
     fn from(findings: Findings) -> Self {
-        Fault(findings.to_string())
+        InputError(findings.to_string())
     }
 }
 
-/// The number in a field of this name.
-pub fn number<T: FromStr>(text: &str, name: &str) -> Result<T, Fault> {
-    text.parse().map_err(|_| Fault(format!("field '{name}': '{text}' is not a number in range")))
+/// Parses a number; the error names the field.
+pub fn parse_number<T: FromStr>(text: &str, field: &str) -> Result<T, InputError> {
+    text.parse().map_err(|_| InputError(format!("field '{field}': '{text}' is not a number in range")))
 }
 
-/// The finite number in a field of this name.
-pub fn finite(text: &str, name: &str) -> Result<f64, Fault> {
-    let value: f64 = number(text, name)?;
+/// Parses a finite number; the error names the field.
+pub fn parse_finite(text: &str, field: &str) -> Result<f64, InputError> {
+    let value: f64 = parse_number(text, field)?;
     if !value.is_finite() {
-        return Err(Fault(format!("field '{name}': '{text}' is not finite")));
+        return Err(InputError(format!("field '{field}': '{text}' is not finite")));
     }
     Ok(value)
 }
 
-/// Numbers for the names of zones, given out as they are met.
+/// Zone ids by zone name, numbered in the order in which the names are first used.
 #[derive(Default)]
-pub struct Zones(HashMap<String, u32>);
+pub struct ZoneIds(HashMap<String, u32>);
 
-impl Zones {
-    /// The zone of this name.
-    pub fn id(&mut self, name: &str) -> ZoneId {
+impl ZoneIds {
+    /// The id of the zone; an unknown name gets the next free id.
+    pub fn get_or_assign(&mut self, name: &str) -> ZoneId {
         if let Some(&id) = self.0.get(name) {
             return ZoneId(id);
         }
@@ -71,9 +72,9 @@
     }
 }
 
-/// The state that discovery's word means.
-pub fn server_state(word: &str) -> Option<ServerState> {
-    match word {
+/// Parses a server state as discovery and the simulator write it.
+pub fn parse_server_state(name: &str) -> Option<ServerState> {
+    match name {
         "in_service" => Some(ServerState::InService),
         "terminating" => Some(ServerState::Terminating),
         "terminated" => Some(ServerState::Terminated),
@@ -81,86 +82,89 @@
     }
 }
 
-/// The names that requests use for the classes and tenants of the settings.
-pub struct Names {
+/// The names by which requests refer to the classes and tenants of the settings.
+pub struct RequestNames {
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-impl Names {
-    /// The place of a class.
-    pub fn class(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|n| n == name)
+impl RequestNames {
+    /// Index of the class in [`Settings::classes`].
+    pub fn class_index(&self, name: &str) -> Option<usize> {
+        self.classes.iter().position(|class| class == name)
     }
 
-    /// The place of a tenant.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
-        self.tenants.iter().position(|n| n == name)
+    /// Index of the tenant in [`Settings::tenants`].
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
+        self.tenants.iter().position(|tenant| tenant == name)
     }
 
-    /// Notes names that are missing or stand twice: no request can mean what has them.
-    pub(crate) fn odd(&self, findings: &mut Findings) {
+    /// Warns about empty and repeated names: no request can refer to such a class or tenant.
+    pub(crate) fn check(&self, findings: &mut Findings) {
         for (list, names) in [("classes", &self.classes), ("tenants", &self.tenants)] {
             for (n, name) in names.iter().enumerate() {
                 let path = format!("settings.{list}[{n}].name");
                 if name.is_empty() {
-                    findings.leave_out(path, "a name", "nothing");
+                    findings.add_warning(path, "a name", "nothing");
                 } else if names[..n].contains(name) {
-                    findings.leave_out(path, "a name of its own", format!("{} again", quote(name)));
+                    findings.add_warning(path, "a unique name", format!("{} again", quote(name)));
                 }
             }
         }
     }
 }
 
-/// A value of the settings, and its place in the file it comes from.
-struct Pair {
+/// The value of a setting, and its path in the JSON file if it comes from one.
+struct SettingValue {
     text: String,
-    at: Option<String>,
+    json_path: Option<String>,
 }
 
-/// The pairs by path.
+/// Settings by dotted path.
 #[derive(Default)]
-pub struct Pairs {
-    values: HashMap<String, Pair>,
-    /// Where something stands that is no plain value: its place in the file, and what it is.
+pub struct SettingPairs {
+    values: HashMap<String, SettingValue>,
+    /// Paths that hold an object or a list of objects: the path in the JSON file and a description.
     nested: HashMap<String, (String, &'static str)>,
 }
 
-impl Pairs {
-    /// The pairs of a line, set apart by spaces.
-    pub fn from_line(text: &str) -> Result<Self, Fault> {
-        let mut pairs = Pairs::default();
-        for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
-            let (path, value) =
-                pair.split_once('=').ok_or_else(|| Fault::new(format!("'{pair}' is no pair")))?;
+impl SettingPairs {
+    /// Parses a line of `path=value` pairs that are separated by spaces.
+    pub fn parse_line(line: &str) -> Result<Self, InputError> {
+        let mut pairs = SettingPairs::default();
+        for pair in line.split(' ').filter(|pair| !pair.is_empty()) {
+            let (path, value) = pair
+                .split_once('=')
+                .ok_or_else(|| InputError::new(format!("'{pair}' is not a path=value pair")))?;
             pairs.set(path.to_owned(), value.to_owned(), None);
         }
         Ok(pairs)
     }
 
-    /// Sets the value of a path; `at` is its place in its file, where that reads otherwise.
-    pub fn set(&mut self, path: String, text: String, at: Option<String>) {
-        self.values.insert(path, Pair { text, at });
+    /// Sets the value of a path. `json_path` is the path in the JSON file, which findings name instead.
+    pub fn set(&mut self, path: String, text: String, json_path: Option<String>) {
+        self.values.insert(path, SettingValue { text, json_path });
     }
 
-    /// Notes that something stands at a path that is no plain value.
-    pub fn set_nested(&mut self, path: String, at: String, what: &'static str) {
-        self.nested.insert(path, (at, what));
+    /// Records that a path holds an object or a list of objects, which `description` names.
+    pub fn set_nested(&mut self, path: String, json_path: String, description: &'static str) {
+        self.nested.insert(path, (json_path, description));
     }
 
-    /// The text at a path; an empty one is absent.
+    /// The value of a path; an empty value and `-` count as absent.
     pub fn text(&self, path: &str) -> Option<&str> {
-        self.values.get(path).map(|pair| pair.text.as_str()).filter(|text| !text.is_empty() && *text != "-")
+        self.values.get(path).map(|value| value.text.as_str()).filter(|text| !text.is_empty() && *text != "-")
     }
 
-    fn at(&self, path: &str) -> String {
-        self.values.get(path).and_then(|pair| pair.at.clone()).unwrap_or_else(|| path.to_owned())
+    /// The path that a finding names: the one in the JSON file, or the dotted path.
+    fn finding_path(&self, path: &str) -> String {
+        self.values.get(path).and_then(|value| value.json_path.clone()).unwrap_or_else(|| path.to_owned())
     }
 }
 
-/// What a site need not tell (WIRE), and what later sites may add: where these are absent, the default is meant.
-const MAY_BE_ABSENT: [&str; 5] = [
+/// Settings that the simulator's protocol lets a site omit, and settings that later sites may add. Their absence
+/// means the default and is not reported.
+const OPTIONAL_SETTINGS: [&str; 5] = [
     "classes.count",
     "tenants.count",
     "domain.warm-keys",
@@ -168,115 +172,118 @@
     "rules.may-shed-begun",
 ];
 
-/// Reads pairs. What is absent keeps the default given with the question; what can't be read does so too, and
-/// both are noted.
-pub struct Reader<'a> {
-    pairs: &'a Pairs,
-    /// What was found wrong so far.
+/// Reads typed values from pairs. An absent or invalid value is replaced by the caller's default; both cases are
+/// recorded in the findings.
+pub struct SettingsReader<'a> {
+    pairs: &'a SettingPairs,
+    /// The findings so far.
     pub findings: Findings,
 }
 
-impl<'a> Reader<'a> {
-    /// A reader of these pairs.
-    pub fn new(pairs: &'a Pairs) -> Self {
-        Reader { pairs, findings: Findings::default() }
+impl<'a> SettingsReader<'a> {
+    /// A reader of these pairs without findings.
+    pub fn new(pairs: &'a SettingPairs) -> Self {
+        SettingsReader { pairs, findings: Findings::default() }
     }
 
-    /// The text at a path.
+    /// The text of a path; an absent one is not recorded.
     pub fn text(&self, path: &str) -> Option<&'a str> {
         self.pairs.text(path)
     }
 
-    /// The whole number at a path.
-    pub fn whole(&mut self, path: &str, default: u64) -> u64 {
-        self.number(path, default, "a whole number, 0 or more", |text| text.parse().ok())
+    /// Reads a whole number.
+    pub fn read_whole(&mut self, path: &str, default: u64) -> u64 {
+        self.read_number(path, default, "a whole number, 0 or more", |text| text.parse().ok())
     }
 
-    fn real(&mut self, path: &str, default: f64) -> f64 {
-        let finite = |text: &str| text.parse().ok().filter(|value: &f64| value.is_finite());
-        self.number(path, default, "a finite number", finite)
+    fn read_finite(&mut self, path: &str, default: f64) -> f64 {
+        let parse = |text: &str| text.parse().ok().filter(|value: &f64| value.is_finite());
+        self.read_number(path, default, "a finite number", parse)
     }
 
-    /// The text at a path; notes where something else stands there.
-    fn plain(&mut self, path: &str, expected: &str) -> Option<&'a str> {
-        if let Some((at, what)) = self.pairs.nested.get(path) {
-            self.findings.leave_out(at, expected, *what);
+    /// The text of a path; adds a warning if the path holds an object or a list of objects.
+    fn read_scalar(&mut self, path: &str, expected: &str) -> Option<&'a str> {
+        if let Some((json_path, description)) = self.pairs.nested.get(path) {
+            self.findings.add_warning(json_path, expected, *description);
         }
         self.text(path)
     }
 
-    /// Notes that a default stands for what is not told.
-    fn assume(&mut self, path: &str, stands: impl fmt::Display) {
-        let meant = MAY_BE_ABSENT.contains(&path) || path.ends_with(".serial-by-key");
-        if !meant && !self.pairs.nested.contains_key(path) {
-            self.findings.assume(path, stands.to_string());
+    /// Records that `default` is used for an absent setting, unless the setting is optional.
+    fn record_default(&mut self, path: &str, default: impl fmt::Display) {
+        let is_optional = OPTIONAL_SETTINGS.contains(&path) || path.ends_with(".serial-by-key");
+        if !is_optional && !self.pairs.nested.contains_key(path) {
+            self.findings.add_default(path, default.to_string());
         }
     }
 
-    fn number<T: fmt::Display>(
+    fn read_number<T: fmt::Display>(
         &mut self,
         path: &str,
         default: T,
         expected: &str,
-        read: impl Fn(&str) -> Option<T>,
+        parse: impl Fn(&str) -> Option<T>,
     ) -> T {
-        let Some(text) = self.plain(path, expected) else {
-            self.assume(path, &default);
+        let Some(text) = self.read_scalar(path, expected) else {
+            self.record_default(path, &default);
             return default;
         };
-        read(text).unwrap_or_else(|| {
-            self.findings.refuse(self.pairs.at(path), expected, quote(text));
+        parse(text).unwrap_or_else(|| {
+            self.findings.add_error(self.pairs.finding_path(path), expected, quote(text));
             default
         })
     }
 
-    fn flag(&mut self, path: &str) -> bool {
-        let words = [("true", true), ("1", true), ("false", false), ("0", false)];
-        self.word(path, &words).unwrap_or(false)
+    /// Reads a boolean; the default is false.
+    fn read_bool(&mut self, path: &str) -> bool {
+        let choices = [("true", true), ("1", true), ("false", false), ("0", false)];
+        self.read_choice(path, &choices).unwrap_or(false)
     }
 
-    /// What the word at a path stands for. An unknown word is as good as none: a later version may know it.
-    fn word<T: Clone>(&mut self, path: &str, words: &[(&str, T)]) -> Option<T> {
-        let expected = || words.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(" or ");
+    /// Reads one of several keywords and returns the value that belongs to it. An unknown keyword counts as
+    /// absent and gets only a warning: a later version may know it.
+    fn read_choice<T: Clone>(&mut self, path: &str, choices: &[(&str, T)]) -> Option<T> {
+        let expected = || choices.iter().map(|(keyword, _)| *keyword).collect::<Vec<_>>().join(" or ");
         let text = match self.pairs.nested.contains_key(path) {
-            true => self.plain(path, &expected())?,
+            true => self.read_scalar(path, &expected())?,
             false => self.text(path).or_else(|| {
-                self.assume(path, "none");
+                self.record_default(path, "none");
                 None
             })?,
         };
-        let known = words.iter().find(|(word, _)| *word == text);
-        if known.is_none() {
-            self.findings.leave_out(self.pairs.at(path), expected(), quote(text));
+        let choice = choices.iter().find(|(keyword, _)| *keyword == text);
+        if choice.is_none() {
+            self.findings.add_warning(self.pairs.finding_path(path), expected(), quote(text));
         }
-        known.map(|(_, meaning)| meaning.clone())
+        choice.map(|(_, value)| value.clone())
     }
 }
 
-/// Reads the settings, or says all that is wrong with them. Unknown paths and words are ignored.
-pub fn read(pairs: &Pairs) -> Result<(Settings, Names), Findings> {
-    let mut reader = Reader::new(pairs);
-    let read = parse(&mut reader);
-    match reader.findings.refused() {
+/// Parses the settings; fails with all findings if any of them is an error. Unknown paths and keywords are
+/// ignored.
+pub fn parse_settings(pairs: &SettingPairs) -> Result<(Settings, RequestNames), Findings> {
+    let mut reader = SettingsReader::new(pairs);
+    let parsed = read_settings(&mut reader);
+    match reader.findings.has_errors() {
         true => Err(reader.findings),
-        false => Ok(read),
+        false => Ok(parsed),
     }
 }
 
-/// Reads the settings as far as that goes; the reader notes what is wrong.
-pub fn parse(p: &mut Reader<'_>) -> (Settings, Names) {
-    let (classes, class_names) = list(p, "classes", class);
-    let (tenants, tenant_names) = list(p, "tenants", tenant);
+/// Reads the settings and uses defaults for absent and invalid ones; the findings are left in the reader.
+pub fn read_settings(reader: &mut SettingsReader<'_>) -> (Settings, RequestNames) {
+    let (classes, class_names) = read_items(reader, "classes", read_class);
+    let (tenants, tenant_names) = read_items(reader, "tenants", read_tenant);
     let settings = Settings {
-        group_size: p.whole("group-size", 1).clamp(1, 1 << 20) as u32,
+        group_size: reader.read_whole("group-size", 1).clamp(1, 1 << 20) as u32,
         classes,
         tenants,
-        over_quota_worth: p.real("over-share-worth", 1.0),
-        worth_by: p
-            .word("worth-by", &[("work", WorthBy::Work), ("request", WorthBy::Request)])
+        over_quota_worth: reader.read_finite("over-share-worth", 1.0),
+        worth_by: reader
+            .read_choice("worth-by", &[("work", WorthBy::Work), ("request", WorthBy::Request)])
             .unwrap_or_default(),
-        weight_source: p
-            .word(
+        weight_source: reader
+            .read_choice(
                 "weight-source",
                 &[
                     ("nominal", WeightSource::Nominal),
@@ -286,81 +293,86 @@
                 ],
             )
             .unwrap_or_default(),
-        discovery_mode: p
-            .word("registry-mode", &[("ask", DiscoveryMode::Subscribe), ("push", DiscoveryMode::Push)])
+        discovery_mode: reader
+            .read_choice("registry-mode", &[("ask", DiscoveryMode::Subscribe), ("push", DiscoveryMode::Push)])
             .unwrap_or_default(),
-        servers_cache_keys: p.flag("domain.warm-keys"),
-        can_cancel: p.flag("bounds.cancelling"),
-        can_probe: p.flag("bounds.may-probe"),
-        allows_concurrent_attempts: p.flag("bounds.second-copies"),
-        max_attempts: p.whole("bounds.max-attempts", 1).min(u64::from(u32::MAX)) as u32,
-        sends_retry_after: p.flag("bounds.retry-after"),
-        max_retry_after: p.whole("bounds.max-retry-after", 0),
-        handshake_deduction: p.real("deductions.handshake", 0.0),
-        connection_deduction: p.real("deductions.connection", 0.0),
-        start_capacity: p.real("rules.start-capacity", 1.0),
-        ramp_time: p.whole("rules.ramp-time", 0),
-        cold_overload_multiple: p.real("rules.fall-multiple", 1.0),
-        max_unsubscribed_time: p.whole("rules.ask-within", 10_000_000),
-        serial_key_cooldown: p.whole("rules.settle-after-doubt", 0),
-        full_may_have_run: p.flag("rules.may-shed-begun"),
-        utilization_index: p
+        servers_cache_keys: reader.read_bool("domain.warm-keys"),
+        can_cancel: reader.read_bool("bounds.cancelling"),
+        can_probe: reader.read_bool("bounds.may-probe"),
+        allows_concurrent_attempts: reader.read_bool("bounds.second-copies"),
+        max_attempts: reader.read_whole("bounds.max-attempts", 1).min(u64::from(u32::MAX)) as u32,
+        sends_retry_after: reader.read_bool("bounds.retry-after"),
+        max_retry_after: reader.read_whole("bounds.max-retry-after", 0),
+        handshake_deduction: reader.read_finite("deductions.handshake", 0.0),
+        connection_deduction: reader.read_finite("deductions.connection", 0.0),
+        start_capacity: reader.read_finite("rules.start-capacity", 1.0),
+        ramp_time: reader.read_whole("rules.ramp-time", 0),
+        cold_overload_multiple: reader.read_finite("rules.fall-multiple", 1.0),
+        max_unsubscribed_time: reader.read_whole("rules.ask-within", 10_000_000),
+        serial_key_cooldown: reader.read_whole("rules.settle-after-doubt", 0),
+        full_may_have_run: reader.read_bool("rules.may-shed-begun"),
+        utilization_index: reader
             .text("report.fields")
-            .and_then(|fields| fields.split(',').position(|f| f == "util")),
+            .and_then(|fields| fields.split(',').position(|field| field == "util")),
     };
-    (settings, Names { classes: class_names, tenants: tenant_names })
+    (settings, RequestNames { classes: class_names, tenants: tenant_names })
 }
 
-/// The most items of a list in the settings.
-const MOST_ITEMS: u64 = 10_000;
+/// Classes or tenants that the settings may have at most.
+const MAX_ITEMS: u64 = 10_000;
 
-/// The items `path.0`, `path.1` and so on, with their names.
-fn list<T>(p: &mut Reader<'_>, path: &str, item: fn(&mut Reader<'_>, &str) -> T) -> (Vec<T>, Vec<String>) {
-    let count = format!("{path}.count");
+/// Reads the items `path.0`, `path.1` and so on, up to the number at `path.count`, with their names.
+fn read_items<T>(
+    reader: &mut SettingsReader<'_>,
+    path: &str,
+    read_item: fn(&mut SettingsReader<'_>, &str) -> T,
+) -> (Vec<T>, Vec<String>) {
+    let count_path = format!("{path}.count");
     const EXPECTED: &str = "a list of objects";
-    if p.text(&count).is_none() {
-        if let Some(text) = p.plain(path, EXPECTED) {
-            p.findings.leave_out(p.pairs.at(path), EXPECTED, quote(text));
+    if reader.text(&count_path).is_none() {
+        if let Some(text) = reader.read_scalar(path, EXPECTED) {
+            reader.findings.add_warning(reader.pairs.finding_path(path), EXPECTED, quote(text));
         }
     }
-    let mut items = p.whole(&count, 0);
-    if items > MOST_ITEMS {
-        p.findings.refuse(p.pairs.at(&count), format!("at most {MOST_ITEMS} items"), items.to_string());
-        items = 0;
+    let mut count = reader.read_whole(&count_path, 0);
+    if count > MAX_ITEMS {
+        let json_path = reader.pairs.finding_path(&count_path);
+        reader.findings.add_error(json_path, format!("at most {MAX_ITEMS} items"), count.to_string());
+        count = 0;
     }
-    let read = |i| {
-        let prefix = format!("{path}.{i}");
-        let name = p.text(&format!("{prefix}.name")).unwrap_or("").to_owned();
-        (item(p, &prefix), name)
+    let read_with_name = |i| {
+        let item_path = format!("{path}.{i}");
+        let name = reader.text(&format!("{item_path}.name")).unwrap_or("").to_owned();
+        (read_item(reader, &item_path), name)
     };
-    (0..items).map(read).unzip()
+    (0..count).map(read_with_name).unzip()
 }
 
-fn class(p: &mut Reader<'_>, at: &str) -> Class {
-    let deadline = p.whole(&format!("{at}.deadline"), 1_000_000);
-    let words = ["safe", "keyed", "unsafe"].map(|word| (word, word));
-    let semantics = match p.word(&format!("{at}.semantics"), &words) {
+fn read_class(reader: &mut SettingsReader<'_>, path: &str) -> Class {
+    let deadline = reader.read_whole(&format!("{path}.deadline"), 1_000_000);
+    let keywords = ["safe", "keyed", "unsafe"].map(|keyword| (keyword, keyword));
+    let semantics = match reader.read_choice(&format!("{path}.semantics"), &keywords) {
         Some("safe") => Semantics::Safe,
         Some("keyed") => {
             let scopes = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
             Semantics::Deduplicated {
-                scope: p.word(&format!("{at}.key-scope"), &scopes).unwrap_or(DedupScope::Cell),
-                ttl: p.whole(&format!("{at}.key-ttl"), 0),
+                scope: reader.read_choice(&format!("{path}.key-scope"), &scopes).unwrap_or(DedupScope::Cell),
+                ttl: reader.read_whole(&format!("{path}.key-ttl"), 0),
             }
         }
-        // What is not known to be repeatable is not repeated.
+        // A request that is not known to be repeatable must not be repeated.
         _ => Semantics::Unsafe,
     };
     Class {
-        aim: p.whole(&format!("{at}.aim"), deadline),
+        aim: reader.read_whole(&format!("{path}.aim"), deadline),
         deadline,
-        points: p.real(&format!("{at}.points"), 1.0),
-        late_share: p.real(&format!("{at}.late-share"), 0.0),
+        points: reader.read_finite(&format!("{path}.points"), 1.0),
+        late_share: reader.read_finite(&format!("{path}.late-share"), 0.0),
         semantics,
-        is_serial_by_key: p.flag(&format!("{at}.serial-by-key")),
+        is_serial_by_key: reader.read_bool(&format!("{path}.serial-by-key")),
     }
 }
 
-fn tenant(p: &mut Reader<'_>, at: &str) -> Tenant {
-    Tenant { quota_per_s: p.real(&format!("{at}.quota-per-s"), 0.0) }
+fn read_tenant(reader: &mut SettingsReader<'_>, path: &str) -> Tenant {
+    Tenant { quota_per_s: reader.read_finite(&format!("{path}.quota-per-s"), 0.0) }
 }
