--- a/src/bin/woodgap/client_connection.rs
+++ b/src/bin/woodgap/client_connection.rs
@@ -1,10 +1,12 @@
-//! A client connection as the node sees it: what it waits for, since when, and whether its client is still there.
+//! The state of one client connection: which phase it is in, since when, and whether the client is still
+//! connected.
 //!
-//! The guarantee: a client's close or reset is noticed whatever lies in front of it. The library looks for it only
-//! while its own buffer is empty, so once a request is whole the connection reads on by itself, keeps what comes in
-//! a bounded buffer for the library, and drops what comes past that: such a connection ends with its answer. A
-//! client that only ends its sending can't be told from one that closed, and is taken to have gone
-//! (PROTOCOL: "when a client closes its connection, it has gone away").
+//! A client's close or reset is noticed even if the client sent further bytes before it. hyper checks for a
+//! close only while its own buffer is empty. So once a request is complete, the connection keeps reading by
+//! itself, holds what arrives for hyper in a bounded read-ahead buffer, and discards what exceeds that
+//! buffer; a connection that exceeded it is closed after the current response. A client that shuts down only
+//! its sending side can't be told from one that closed the connection, and counts as disconnected: by the
+//! client protocol, a client that closes its connection has gone away.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,203 +28,219 @@
 
 mod framing;
 
-/// The longest time from connecting, or from a later request's first byte, to the request's last:
-/// clients that say nothing or little hold a place that others need.
-pub const SLOW: Duration = Duration::from_millis(2_500);
-/// The longest idle time between requests.
-const IDLE: Duration = Duration::from_secs(60);
-/// Where places are short, a connection with nothing open on it may be closed after this time; one
-/// that has not said a word since it was opened after the shorter one.
-const SPARE_IDLE: Duration = Duration::from_secs(2);
-const SPARE_SILENT: Duration = Duration::from_millis(500);
-/// What is kept of what comes behind an open request: a client sends one at a time.
-const MOST_AHEAD: usize = 16 * 1024;
-/// After its last answer a connection is read for this long, or for as many bytes: a close over what is
-/// unread resets it, and takes an answer with it that is still on its way.
-const LINGER: Duration = Duration::from_millis(500);
-const MOST_UNREAD: usize = 1 << 20;
-
-/// What a connection is about.
+/// Longest time in which a request must arrive completely, from the connect for the first request and from
+/// its first byte for a later one. Clients that send nothing or very slowly hold a place that other clients
+/// need.
+pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest idle time between two requests.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Where places for connections are short, a connection without an open request may be closed after it was
+/// idle for this long...
+const EVICTABLE_IDLE: Duration = Duration::from_secs(2);
+/// ...or, before its first request, after this shorter time.
+const EVICTABLE_UNUSED: Duration = Duration::from_millis(500);
+/// Bytes that are kept of what arrives behind an open request. Clients normally send one request at a time.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Longest time for which a connection is still read after its last response. Closing a socket with unread
+/// data sends a reset, which can discard a response that is still on its way.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most bytes that are read in that time.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Size of the buffers for reads that bypass hyper.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// Nothing has been answered on it and no head is whole.
+    /// Before the first request: its head has not arrived completely.
     New,
-    /// A later request has begun to come.
-    Head,
-    /// A request is open.
-    Open,
-    /// Between requests.
+    /// The head of a later request is arriving.
+    ReadingHead,
+    /// A request's head has arrived and the request is not answered yet.
+    RequestOpen,
+    /// Between two requests.
     Idle,
-    /// It is being closed.
+    /// The connection is being closed.
     Closing,
 }
 
-/// The state of a connection, shared by its socket, its service and the look-over.
-pub struct Conn {
+/// A client connection, shared by the socket that hyper uses, the request handler and the periodic check for
+/// overdue connections.
+pub struct ClientConnection {
     stream: TcpStream,
     phase: Cell<Phase>,
-    since: Cell<Instant>,
-    /// Whether it is closed at once, or with the answer to the request that may be open.
-    abrupt: Cell<bool>,
-    /// Requests that have come on it.
+    phase_since: Cell<Instant>,
+    /// Whether the connection closes at once instead of after the response to a request that may be open.
+    closes_at_once: Cell<bool>,
+    /// Number of requests whose head has arrived.
     requests: Cell<u32>,
-    pub close: Notify,
-    /// When the first request must have come.
-    first_by: Instant,
-    /// The open request is whole: what comes now is not part of it.
-    whole: Cell<bool>,
-    became_whole: Notify,
-    /// How the bytes of a request are framed, as far as the library says nothing of it.
+    /// Signalled by `request_close`.
+    pub close_requested: Notify,
+    /// When the first request must have arrived completely.
+    first_request_deadline: Instant,
+    /// The open request has arrived completely: bytes that arrive now are not part of it.
+    is_request_complete: Cell<bool>,
+    request_completed: Notify,
+    /// How the open request's body is framed, where hyper does not tell.
     framing: RefCell<Framing>,
-    /// What was read behind the open request, and whether more came than is kept.
-    ahead: RefCell<BytesMut>,
-    overrun: Cell<bool>,
+    /// What arrived behind the open request.
+    read_ahead: RefCell<BytesMut>,
+    /// Whether more than `MAX_READ_AHEAD_BYTES` arrived behind the open request.
+    read_ahead_overflowed: Cell<bool>,
 }
 
-impl Conn {
-    pub fn new(stream: TcpStream, first: Duration) -> Rc<Self> {
+impl ClientConnection {
+    /// The state of a connection that was just accepted; its first request must arrive within
+    /// `first_request_timeout`.
+    pub fn new(stream: TcpStream, first_request_timeout: Duration) -> Rc<Self> {
         let now = Instant::now();
-        Rc::new(Conn {
+        Rc::new(ClientConnection {
             stream,
             phase: Cell::new(Phase::New),
-            since: Cell::new(now),
-            abrupt: Cell::new(false),
+            phase_since: Cell::new(now),
+            closes_at_once: Cell::new(false),
             requests: Cell::new(0),
-            close: Notify::new(),
-            first_by: now + first,
-            whole: Cell::new(false),
-            became_whole: Notify::new(),
+            close_requested: Notify::new(),
+            first_request_deadline: now + first_request_timeout,
+            is_request_complete: Cell::new(false),
+            request_completed: Notify::new(),
             framing: RefCell::new(Framing::default()),
-            ahead: RefCell::default(),
-            overrun: Cell::new(false),
+            read_ahead: RefCell::default(),
+            read_ahead_overflowed: Cell::new(false),
         })
     }
 
-    pub fn enter(&self, phase: Phase) {
-        self.whole.set(false);
+    /// Changes the phase; a connection that is closing stays in that phase.
+    pub fn enter_phase(&self, phase: Phase) {
+        self.is_request_complete.set(false);
         if phase == Phase::Idle {
-            self.framing.borrow_mut().next();
+            self.framing.borrow_mut().finish_request();
         }
         if self.phase.get() != Phase::Closing {
             self.phase.set(phase);
-            self.since.set(Instant::now());
+            self.phase_since.set(Instant::now());
         }
     }
 
-    /// The open request has come whole.
-    pub fn set_whole(&self) {
-        self.whole.set(true);
-        self.became_whole.notify_one();
+    /// Notes that the open request has arrived completely.
+    pub fn mark_request_complete(&self) {
+        self.is_request_complete.set(true);
+        self.request_completed.notify_one();
     }
 
-    /// A head has come whole; tells by when its body must have.
-    pub fn opened(&self) -> Instant {
-        let by = match self.phase.get() {
-            Phase::New => self.first_by,
-            Phase::Head => self.since.get() + SLOW,
-            _ => Instant::now() + SLOW,
+    /// Notes that the head of a request has arrived and returns the deadline for its body.
+    pub fn begin_request(&self) -> Instant {
+        let body_deadline = match self.phase.get() {
+            Phase::New => self.first_request_deadline,
+            Phase::ReadingHead => self.phase_since.get() + REQUEST_READ_TIMEOUT,
+            _ => Instant::now() + REQUEST_READ_TIMEOUT,
         };
-        self.framing.borrow_mut().read();
-        self.enter(Phase::Open);
+        self.framing.borrow_mut().parse_head();
+        self.enter_phase(Phase::RequestOpen);
         self.requests.set(self.requests.get().saturating_add(1));
-        by
+        body_deadline
     }
 
-    /// Whether the open request's body is in chunks and nothing in its head says otherwise.
-    pub fn is_chunked_alone(&self) -> bool {
-        self.framing.borrow().chunked_alone
+    /// Whether `Transfer-Encoding: chunked` is known to be the only framing in the open request's head.
+    pub fn is_chunked_only(&self) -> bool {
+        self.framing.borrow().is_chunked_only
     }
 
-    /// Whether no other request came before the one that is open.
-    pub fn is_first(&self) -> bool {
+    /// Whether the open request is the connection's first.
+    pub fn is_first_request(&self) -> bool {
         self.requests.get() == 1
     }
 
-    /// Whether nothing was answered on it.
-    pub fn is_unanswered(&self) -> bool {
+    /// Whether the head of no request has arrived, so that nothing was answered.
+    pub fn is_unused(&self) -> bool {
         self.requests.get() == 0
     }
 
-    /// Whether more came behind the open request than is kept: no other one is read on the connection.
-    pub fn is_overrun(&self) -> bool {
-        self.overrun.get()
+    /// Whether bytes behind the open request were discarded, so that no further request can be read.
+    pub fn has_read_ahead_overflowed(&self) -> bool {
+        self.read_ahead_overflowed.get()
     }
 
-    /// Whether bytes wait that nobody has read: a request may have come whole since its task last ran.
-    pub fn has_unread(&self) -> bool {
+    /// Whether bytes have arrived that hyper has not read: a complete request may have arrived since the
+    /// connection's task last ran.
+    pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        !self.ahead.borrow().is_empty()
+        !self.read_ahead.borrow().is_empty()
             || SockRef::from(&self.stream).peek(&mut byte).is_ok_and(|count| count > 0)
     }
 
-    /// Whether closing it for its place takes no request along that has come.
-    pub fn gives_way(&self) -> bool {
-        self.phase.get() == Phase::Closing || !self.has_unread()
+    /// Whether closing the connection at once loses no request that has arrived unread.
+    pub fn can_close_without_loss(&self) -> bool {
+        self.phase.get() == Phase::Closing || !self.has_unread_bytes()
     }
 
-    /// Whether it may be closed between two requests: nothing of a next one has come.
-    pub fn is_resting(&self) -> bool {
-        self.phase.get() == Phase::Idle && !self.has_unread()
+    /// Whether the connection is between two requests and no byte of the next one has arrived.
+    pub fn is_idle(&self) -> bool {
+        self.phase.get() == Phase::Idle && !self.has_unread_bytes()
     }
 
-    /// Whether a request has taken too long to come, or none has come for long.
+    /// Whether a request takes too long to arrive or the connection has been idle for too long.
     pub fn is_overdue(&self) -> bool {
         match self.phase.get() {
-            Phase::New => Instant::now() > self.first_by,
-            Phase::Head => self.since.get().elapsed() > SLOW,
-            Phase::Idle => self.since.get().elapsed() > IDLE,
-            Phase::Open | Phase::Closing => false,
+            Phase::New => Instant::now() > self.first_request_deadline,
+            Phase::ReadingHead => self.phase_since.get().elapsed() > REQUEST_READ_TIMEOUT,
+            Phase::Idle => self.phase_since.get().elapsed() > KEEPALIVE_TIMEOUT,
+            Phase::RequestOpen | Phase::Closing => false,
         }
     }
 
-    /// How dispensable the connection is where places are short; from 1 on it may be closed.
-    pub fn spare(&self) -> f64 {
-        let after = match self.phase.get() {
-            Phase::New => SPARE_SILENT,
-            Phase::Idle => SPARE_IDLE,
-            // What came last was answered: it only waits for its client's close.
-            Phase::Closing if !self.abrupt.get() => return f64::INFINITY,
-            Phase::Head | Phase::Open | Phase::Closing => return 0.0,
+    /// How readily the connection is closed where places are short: the highest score first, and none below
+    /// 1.
+    pub fn eviction_score(&self) -> f64 {
+        let evictable_after = match self.phase.get() {
+            Phase::New => EVICTABLE_UNUSED,
+            Phase::Idle => EVICTABLE_IDLE,
+            // The last request was answered; the connection only waits for the client's close.
+            Phase::Closing if !self.closes_at_once.get() => return f64::INFINITY,
+            Phase::ReadingHead | Phase::RequestOpen | Phase::Closing => return 0.0,
         };
-        self.since.get().elapsed().as_secs_f64() / after.as_secs_f64()
+        self.phase_since.get().elapsed().as_secs_f64() / evictable_after.as_secs_f64()
     }
 
-    /// Has it closed. `abrupt` is for those on which no request is open.
-    pub fn shut(&self, abrupt: bool) {
-        if abrupt {
+    /// Asks the connection's task to close the connection: `at_once`, which is for connections without an
+    /// open request, or else after the response to a request that may be open.
+    pub fn request_close(&self, at_once: bool) {
+        if at_once {
             self.phase.set(Phase::Closing);
         }
-        self.abrupt.set(self.abrupt.get() || abrupt);
-        self.close.notify_one();
+        self.closes_at_once.set(self.closes_at_once.get() || at_once);
+        self.close_requested.notify_one();
     }
 
-    pub fn is_abrupt(&self) -> bool {
-        self.abrupt.get()
+    /// Whether the connection was asked to close at once.
+    pub fn closes_at_once(&self) -> bool {
+        self.closes_at_once.get()
     }
 
-    /// Returns once the client of an open request has gone. Until then what comes is read, so that nothing hides
-    /// its end.
-    pub async fn client_left(&self) {
+    /// Returns once the client of a complete, unanswered request has disconnected. Until then the connection
+    /// is read into the read-ahead buffer, because unread bytes would hide the close behind them.
+    pub async fn wait_for_disconnect(&self) {
         loop {
-            while !self.whole.get() {
-                self.became_whole.notified().await;
+            while !self.is_request_complete.get() {
+                self.request_completed.notified().await;
             }
             if self.stream.readable().await.is_err() {
                 return;
             }
-            // The answer may have been given meanwhile: what comes now is the library's to read.
-            if !self.whole.get() {
+            // The request may have been answered meanwhile; bytes that arrive after that are for hyper to
+            // read.
+            if !self.is_request_complete.get() {
                 continue;
             }
-            let mut buffer = [0; 4096];
+            let mut buffer = [0; READ_BUFFER_BYTES];
             match self.stream.try_read(&mut buffer) {
                 Ok(0) => return,
                 Ok(count) => {
-                    let mut ahead = self.ahead.borrow_mut();
-                    if self.overrun.get() || ahead.len() + count > MOST_AHEAD {
-                        self.overrun.set(true);
+                    let mut read_ahead = self.read_ahead.borrow_mut();
+                    if self.read_ahead_overflowed.get() || read_ahead.len() + count > MAX_READ_AHEAD_BYTES {
+                        self.read_ahead_overflowed.set(true);
                     } else {
-                        ahead.extend_from_slice(&buffer[..count]);
+                        read_ahead.extend_from_slice(&buffer[..count]);
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -231,60 +249,63 @@
         }
     }
 
-    /// Ends the sending and reads what is left until the client ends its own: within bounds of time and bytes, and
-    /// only what is there where the place is wanted at once.
+    /// Lingering close: shuts down the sending side and discards what arrives until the client closes too,
+    /// within `LINGER_TIMEOUT` and `MAX_LINGER_BYTES`. If the connection is asked to close at once, only what
+    /// has already arrived is discarded.
     pub async fn linger(&self) {
         let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
-        let drained = async {
-            let (mut left, mut buffer) = (MOST_UNREAD, [0; 4096]);
-            while left > 0 {
+        let discard = async {
+            let (mut remaining, mut buffer) = (MAX_LINGER_BYTES, [0; READ_BUFFER_BYTES]);
+            while remaining > 0 {
                 match self.stream.try_read(&mut buffer) {
                     Ok(0) => return,
-                    Ok(count) => left = left.saturating_sub(count),
+                    Ok(count) => remaining = remaining.saturating_sub(count),
                     Err(error) if error.kind() != io::ErrorKind::WouldBlock => return,
-                    Err(_) if self.is_abrupt() => return,
+                    Err(_) if self.closes_at_once() => return,
                     Err(_) => tokio::select! {
                         ready = self.stream.readable() => if ready.is_err() { return },
-                        () = self.close.notified() => {}
+                        () = self.close_requested.notified() => {}
                     },
                 }
             }
         };
-        let _ = timeout(LINGER, drained).await;
+        let _ = timeout(LINGER_TIMEOUT, discard).await;
     }
 }
 
-/// A client's socket, which tells its connection when a request begins to come.
-pub struct Socket(Rc<Conn>);
+/// The connection's socket in the form that hyper reads and writes. Reads take the read-ahead buffer first,
+/// record the bytes for `Framing` and notice the first byte of a request on an idle connection.
+pub struct ClientSocket(Rc<ClientConnection>);
 
-impl Socket {
-    pub fn new(conn: Rc<Conn>) -> Self {
-        Socket(conn)
+impl ClientSocket {
+    /// The socket of a connection.
+    pub fn new(connection: Rc<ClientConnection>) -> Self {
+        ClientSocket(connection)
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let conn = &self.0;
-        let before = buf.filled().len();
-        let mut ahead = conn.ahead.borrow_mut();
-        let count = if ahead.is_empty() {
-            ready!(stream::poll_read(&conn.stream, cx, buf))?
+        let connection = &self.0;
+        let filled_before = buf.filled().len();
+        let mut read_ahead = connection.read_ahead.borrow_mut();
+        let count = if read_ahead.is_empty() {
+            ready!(stream::poll_read(&connection.stream, cx, buf))?
         } else {
-            let count = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..count]);
-            ahead.advance(count);
+            let count = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..count]);
+            read_ahead.advance(count);
             count
         };
-        conn.framing.borrow_mut().take(&buf.filled()[before..]);
-        if count > 0 && conn.phase.get() == Phase::Idle {
-            conn.enter(Phase::Head);
+        connection.framing.borrow_mut().record_bytes(&buf.filled()[filled_before..]);
+        if count > 0 && connection.phase.get() == Phase::Idle {
+            connection.enter_phase(Phase::ReadingHead);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         stream::poll_write(&self.0.stream, cx, |stream| stream.try_write(data))
     }
--- a/src/bin/woodgap/client_connection/tests.rs
+++ b/src/bin/woodgap/client_connection/tests.rs
@@ -2,23 +2,23 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// A connection as the node sees it, and its client's side.
-async fn pair() -> (Rc<Conn>, TcpStream) {
+/// A connection and its client's socket.
+async fn connect() -> (Rc<ClientConnection>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    (Conn::new(listener.accept().await.unwrap().0, SLOW), client)
+    (ClientConnection::new(listener.accept().await.unwrap().0, REQUEST_READ_TIMEOUT), client)
 }
 
-// Those who say nothing give way first, those with a request open never.
+// An unused connection may be evicted sooner than an idle one, and one with an open request never.
 #[tokio::test]
-async fn what_nothing_is_open_on_gives_way() {
-    let (conn, _client) = pair().await;
+async fn only_connections_without_an_open_request_are_evictable() {
+    let (connection, _client) = connect().await;
     tokio::time::pause();
-    let may_close_after = |conn: &Rc<Conn>| {
-        let conn = conn.clone();
+    let evictable_after_tenths = |connection: &Rc<ClientConnection>| {
+        let connection = connection.clone();
         async move {
             for tenths in 0..100 {
-                if conn.spare() >= 1.0 {
+                if connection.eviction_score() >= 1.0 {
                     return Some(tenths);
                 }
                 tokio::time::advance(Duration::from_millis(100)).await;
@@ -26,104 +26,115 @@
             None
         }
     };
-    assert_eq!(may_close_after(&conn).await, Some(5));
-    assert!(conn.is_unanswered());
-    conn.opened();
-    assert!(conn.is_first() && !conn.is_unanswered());
-    assert_eq!(may_close_after(&conn).await, None);
-    assert!(!conn.is_overdue());
-    conn.enter(Phase::Idle);
-    assert_eq!(may_close_after(&conn).await, Some(20));
-    conn.enter(Phase::Head);
-    tokio::time::advance(SLOW + Duration::from_millis(1)).await;
-    assert!(conn.is_overdue());
-    conn.shut(true);
-    assert_eq!(may_close_after(&conn).await, None);
+    assert_eq!(evictable_after_tenths(&connection).await, Some(5));
+    assert!(connection.is_unused());
+    connection.begin_request();
+    assert!(connection.is_first_request() && !connection.is_unused());
+    assert_eq!(evictable_after_tenths(&connection).await, None);
+    assert!(!connection.is_overdue());
+    connection.enter_phase(Phase::Idle);
+    assert_eq!(evictable_after_tenths(&connection).await, Some(20));
+    connection.enter_phase(Phase::ReadingHead);
+    tokio::time::advance(REQUEST_READ_TIMEOUT + Duration::from_millis(1)).await;
+    assert!(connection.is_overdue());
+    connection.request_close(true);
+    assert_eq!(evictable_after_tenths(&connection).await, None);
 }
 
-// A request that lies in the system's buffer, unread as yet, keeps its connection.
+// A request that has arrived but is still unread, in the receive buffer or read ahead, keeps its connection
+// open.
 #[tokio::test]
-async fn a_connection_whose_request_has_come_does_not_give_way() {
-    let (conn, mut client) = pair().await;
-    assert!(conn.gives_way());
-    conn.enter(Phase::Idle);
-    assert!(conn.is_resting());
+async fn a_connection_with_an_unread_request_is_not_closed() {
+    let (connection, mut client) = connect().await;
+    assert!(connection.can_close_without_loss());
+    connection.enter_phase(Phase::Idle);
+    assert!(connection.is_idle());
     client.write_all(b"GET").await.unwrap();
-    while !conn.has_unread() {
+    while !connection.has_unread_bytes() {
         tokio::task::yield_now().await;
     }
-    assert!(!conn.gives_way() && !conn.is_resting());
-    // What came behind an open request waits there too.
-    conn.opened();
-    conn.set_whole();
+    assert!(!connection.can_close_without_loss() && !connection.is_idle());
+    connection.begin_request();
+    connection.mark_request_complete();
+    let bytes_are_read_ahead = async {
+        while connection.read_ahead.borrow().is_empty() {
+            tokio::task::yield_now().await;
+        }
+    };
     tokio::select! {
-        () = conn.client_left() => unreachable!("it is there"),
-        () = async { while conn.ahead.borrow().is_empty() { tokio::task::yield_now().await } } => {}
+        () = connection.wait_for_disconnect() => unreachable!("the client is still connected"),
+        () = bytes_are_read_ahead => {}
     }
-    conn.enter(Phase::Idle);
-    assert!(!conn.gives_way() && !conn.is_resting());
-    conn.enter(Phase::Closing);
-    assert!(conn.gives_way());
+    connection.enter_phase(Phase::Idle);
+    assert!(!connection.can_close_without_loss() && !connection.is_idle());
+    connection.enter_phase(Phase::Closing);
+    assert!(connection.can_close_without_loss());
 }
 
-// Whatever lies in front of it, a client's end is seen, and what is kept of what lies there is bounded.
+// A client's close is noticed however many bytes it sent before, and the read-ahead buffer stays bounded.
 #[tokio::test]
-async fn a_clients_end_is_seen_behind_any_number_of_bytes() {
-    for (bytes, overrun) in
-        [(0, false), (100, false), (MOST_AHEAD, false), (MOST_AHEAD + 1, true), (3 << 20, true)]
-    {
-        let (conn, mut client) = pair().await;
-        conn.opened();
-        conn.set_whole();
-        let flood = async {
+async fn a_disconnect_is_noticed_behind_any_number_of_bytes() {
+    for (bytes, overflows) in [
+        (0, false),
+        (100, false),
+        (MAX_READ_AHEAD_BYTES, false),
+        (MAX_READ_AHEAD_BYTES + 1, true),
+        (3 << 20, true),
+    ] {
+        let (connection, mut client) = connect().await;
+        connection.begin_request();
+        connection.mark_request_complete();
+        let send_and_close = async {
             client.write_all(&vec![b'x'; bytes]).await.unwrap();
             drop(client);
         };
-        tokio::join!(conn.client_left(), flood);
-        assert!(conn.ahead.borrow().len() <= MOST_AHEAD);
-        assert_eq!(conn.is_overrun(), overrun, "{bytes}");
-        assert!(overrun || conn.ahead.borrow().len() == bytes);
+        tokio::join!(connection.wait_for_disconnect(), send_and_close);
+        assert!(connection.read_ahead.borrow().len() <= MAX_READ_AHEAD_BYTES);
+        assert_eq!(connection.has_read_ahead_overflowed(), overflows, "{bytes}");
+        assert!(overflows || connection.read_ahead.borrow().len() == bytes);
     }
 }
 
-// An answer that is still on its way must not go with a reset: what is unread is read before the close.
+// Closing a socket with unread data sends a reset, which can discard a response that the client has not read
+// yet.
 #[tokio::test]
-async fn an_answer_arrives_though_more_was_sent() {
+async fn a_response_arrives_although_the_client_sent_more() {
     use tokio::io::AsyncReadExt;
-    let (conn, mut client) = pair().await;
+    let (connection, mut client) = connect().await;
     client.write_all(&[b'x'; 9_000]).await.unwrap();
-    conn.stream.writable().await.unwrap();
-    assert_eq!(conn.stream.try_write(b"answer").unwrap(), 6);
-    conn.enter(Phase::Closing);
-    let closing = async {
-        conn.linger().await;
-        drop(conn);
+    connection.stream.writable().await.unwrap();
+    assert_eq!(connection.stream.try_write(b"answer").unwrap(), 6);
+    connection.enter_phase(Phase::Closing);
+    let close = async {
+        connection.linger().await;
+        drop(connection);
     };
-    let reading = async {
-        let mut answer = Vec::new();
-        client.read_to_end(&mut answer).await.expect("an orderly end");
-        assert_eq!(answer, b"answer");
-        // A reset behind the end shows here alone: elsewhere it may come before what the client has not read.
-        assert!(client.take_error().unwrap().is_none(), "it was reset");
+    let read = async {
+        let mut response = Vec::new();
+        client.read_to_end(&mut response).await.expect("an orderly close");
+        assert_eq!(response, b"answer");
+        // Here a reset behind the close shows only as the socket's error. Over a real network it could arrive
+        // before the client has read the response, which would then be lost.
+        assert!(client.take_error().unwrap().is_none(), "the connection was reset");
         drop(client);
     };
-    tokio::join!(closing, reading);
+    tokio::join!(close, read);
 }
 
-// A client that never closes does not hold its place for good, nor one whose place is wanted.
+// A client that never closes holds its place only for a bounded time, and not if the place is needed.
 #[tokio::test]
-async fn lingering_is_bounded_and_ends_where_the_place_is_wanted() {
-    let (conn, _client) = pair().await;
-    conn.enter(Phase::Closing);
-    assert_eq!(conn.spare(), f64::INFINITY);
-    let (waiting, shut) = (conn.clone(), conn.clone());
-    tokio::join!(async move { waiting.linger().await }, async move {
+async fn lingering_is_bounded_and_ends_on_a_close_request() {
+    let (connection, _client) = connect().await;
+    connection.enter_phase(Phase::Closing);
+    assert_eq!(connection.eviction_score(), f64::INFINITY);
+    let (lingering, closed) = (connection.clone(), connection.clone());
+    tokio::join!(async move { lingering.linger().await }, async move {
         tokio::task::yield_now().await;
-        shut.shut(true);
+        closed.request_close(true);
     });
-    assert_eq!(conn.spare(), 0.0);
-    let (conn, _client) = pair().await;
-    conn.enter(Phase::Closing);
+    assert_eq!(connection.eviction_score(), 0.0);
+    let (connection, _client) = connect().await;
+    connection.enter_phase(Phase::Closing);
     tokio::time::pause();
-    conn.linger().await;
+    connection.linger().await;
 }
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -1,4 +1,5 @@
-//! The clients' side: connections, requests in, answers out.
+//! The node towards its clients: accepts connections, reads requests, hands them to the driver and writes
+//! responses.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -21,305 +22,339 @@
 use woodgap::settings::RequestNames;
 use woodgap::{ClassId, Settings, TenantId};
 
-use crate::client_connection::{Conn, Phase, Socket, SLOW};
+use crate::client_connection::{ClientConnection, ClientSocket, Phase, REQUEST_READ_TIMEOUT};
 use crate::counts::Count;
 use crate::driver::{Answer, Arrival, Msg};
-use crate::exchange::{OutgoingRequest, LONGEST_BODY};
+use crate::exchange::{OutgoingRequest, MAX_BODY_BYTES};
 use crate::guards::{SocketBudget, SocketPermit};
-use crate::request::{drop_hop_headers, Fault, Head};
+use crate::request::{remove_hop_by_hop_headers, Rejection, RequestHead};
 use crate::servers::Servers;
 use crate::witness::Witness;
 
-/// Most bytes and fields of a request's head.
-pub const LONGEST_HEAD: usize = 16 * 1024;
-pub const MOST_HEADERS: usize = 64;
-/// An answer must reach the client before it gives up: the client counts from its send, the node
-/// from its read, and the way back takes time too.
-pub const MARGIN: Duration = Duration::from_millis(12);
-/// After SIGTERM new connections and requests still come for up to 0.4 s.
-const DRAIN: Duration = Duration::from_millis(600);
-/// After SIGTERM the process may be killed once the longest deadline, at most the first of these, and the second
-/// have passed: what comes late has its answer by then.
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-const KILL: Duration = Duration::from_millis(650);
-/// How long the last connection is outlived, for those that wait to be accepted.
-const BACKLOG: Duration = Duration::from_millis(20);
-/// A connection past the budget gets this long to hear that it is refused, and one that comes while
-/// the node closes to send its request.
-const REFUSAL: Duration = Duration::from_secs(1);
-/// When to come back to a node that has no room.
-const OVERFULL: Duration = Duration::from_millis(500);
-/// Past this part of the places a connection ends with the answer to its first request, and past the
-/// greater one any does: crowds that ask once and stay would shut others out until they may be closed.
-const CROWDED: f64 = 0.6;
-const FULL: f64 = 0.9;
-/// How often the connections are looked over.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a newcomer waits for the place of a connection that was closed for it.
-const HANDOVER: Duration = Duration::from_millis(5);
+/// Largest head of a request.
+pub const MAX_REQUEST_HEAD_BYTES: usize = 16 * 1024;
+/// Most headers of a request.
+pub const MAX_REQUEST_HEADERS: usize = 64;
+/// Taken off the time that a client gives its request, so that the response arrives before the client gives
+/// up: the client counts from its send and the node from its read, and the response needs time on its way
+/// back.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
+/// How long after SIGTERM idle connections stay open. New connections and requests arrive for up to 0.4 s.
+const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
+/// After SIGTERM the platform lets the process run for the longest deadline of a class, but for no more than
+/// this time...
+const MAX_KILL_DELAY: Duration = Duration::from_secs(3);
+/// ...and for this time beyond that. Then it may kill the process, so requests that arrive after SIGTERM are
+/// answered by then.
+const KILL_GRACE: Duration = Duration::from_millis(650);
+/// How long a draining node goes on after its last connection closed, for connections in the listener's
+/// backlog.
+const BACKLOG_DELAY: Duration = Duration::from_millis(20);
+/// How long a connection beyond the budget may take to send the request that is then refused, and a
+/// connection accepted after `IDLE_CLOSE_DELAY` to send its only request.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// The `Retry-After` of a node without room for a further connection or request.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Above this part of the client sockets in use, a connection is closed after its first response...
+const CLOSE_AFTER_FIRST_ABOVE: f64 = 0.6;
+/// ...and above this part after any response. Otherwise a crowd of clients that send one request and stay
+/// connected would keep others out until their connections may be evicted.
+const CLOSE_AFTER_ANY_ABOVE: f64 = 0.9;
+/// How often connections are checked for overdue requests.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long to wait for the socket of an evicted connection to close before trying again.
+const EVICTION_WAIT: Duration = Duration::from_millis(5);
+/// Pause after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct Clients {
     settings: Settings,
     names: RequestNames,
-    open_cap: usize,
+    max_open_requests: usize,
     servers: Rc<Servers>,
-    /// Sockets of clients, of all, and of clients that are only told to go.
-    budget: Rc<SocketBudget>,
-    overflow: Rc<SocketBudget>,
-    /// Knows whether the audit shut the node out.
+    /// Sockets for clients; each also needs a permit from the budget of all sockets in `servers`.
+    client_sockets: Rc<SocketBudget>,
+    /// Further sockets for clients that are only told that the node refuses them.
+    refusal_sockets: Rc<SocketBudget>,
+    /// Knows whether the audit has taken the node out of service.
     witness: Option<Rc<Witness>>,
-    tx: mpsc::UnboundedSender<Msg>,
-    next_id: Cell<u64>,
-    /// Requests that hold memory: from their head to their answer.
-    held: Cell<usize>,
-    /// What clients call the requests that are open.
-    open: RefCell<HashSet<String>>,
-    next_conn: Cell<u64>,
-    conns: RefCell<HashMap<u64, Rc<Conn>>>,
-    /// Since SIGTERM: by when all has to be answered.
-    answer_by: Cell<Option<Instant>>,
-    /// Set once idle connections are to go as well.
-    closing: Cell<bool>,
-    /// Told whenever a connection ends.
-    ended: Notify,
+    driver: mpsc::UnboundedSender<Msg>,
+    next_request_id: Cell<u64>,
+    /// Requests that hold memory: from the arrival of their head to their response.
+    open_requests: Cell<usize>,
+    /// The `X-Txn` of each request that waits for its response.
+    open_txns: RefCell<HashSet<String>>,
+    next_connection_id: Cell<u64>,
+    connections: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    /// Set at SIGTERM: when all requests must have been answered.
+    drain_deadline: Cell<Option<Instant>>,
+    /// Set when a draining node closes its idle connections.
+    is_closing: Cell<bool>,
+    connection_closed: Notify,
 }
 
 impl Clients {
+    /// `sockets` are the budgets for clients that are served and for those that are only refused.
     pub fn new(
         settings: Settings,
         names: RequestNames,
-        open_cap: usize,
+        max_open_requests: usize,
         servers: Rc<Servers>,
-        budgets: (Rc<SocketBudget>, Rc<SocketBudget>),
+        sockets: (Rc<SocketBudget>, Rc<SocketBudget>),
         witness: Option<Rc<Witness>>,
-        tx: mpsc::UnboundedSender<Msg>,
+        driver: mpsc::UnboundedSender<Msg>,
     ) -> Rc<Self> {
         Rc::new(Clients {
             settings,
             names,
-            open_cap,
+            max_open_requests,
             servers,
-            budget: budgets.0,
-            overflow: budgets.1,
+            client_sockets: sockets.0,
+            refusal_sockets: sockets.1,
             witness,
-            tx,
-            next_id: Cell::new(1),
-            held: Cell::new(0),
-            open: RefCell::default(),
-            next_conn: Cell::new(0),
-            conns: RefCell::default(),
-            answer_by: Cell::new(None),
-            closing: Cell::new(false),
-            ended: Notify::new(),
+            driver,
+            next_request_id: Cell::new(1),
+            open_requests: Cell::new(0),
+            open_txns: RefCell::default(),
+            next_connection_id: Cell::new(0),
+            connections: RefCell::default(),
+            drain_deadline: Cell::new(None),
+            is_closing: Cell::new(false),
+            connection_closed: Notify::new(),
         })
     }
 
-    /// Accepts for as long as the node lives, after SIGTERM too: what is written to a connection
-    /// in the backlog counts as taken.
-    pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        spawn_local(self.clone().look_over());
+    /// Accepts connections until the process ends, after SIGTERM too: a request written to a connection that
+    /// is still in the listener's backlog counts as accepted.
+    pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
+        spawn_local(self.clone().close_overdue_connections());
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    let (permits, refuse) = self.place().await;
-                    spawn_local(self.clone().serve(stream, permits, refuse));
+                    let (permits, refuse) = self.acquire_permits().await;
+                    spawn_local(self.clone().serve_connection(stream, permits, refuse));
                 }
                 Err(error) => {
-                    // Out of descriptors, accept fails at once and the connection stays: without
-                    // a pause this loop would take the core that could close some.
+                    // Without a free file descriptor, accept fails at once and the connection stays in the
+                    // backlog. Without a pause this loop would take the CPU time that closing other sockets
+                    // needs.
                     tracing::warn!(%error, "accept failed");
                     self.servers.evict();
-                    sleep(Duration::from_millis(10)).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// A place for a newcomer: a free one, that of a connection which nothing is open on, or one
-    /// where it only hears that it is refused. The last wait is short: refusals take a second at most.
-    async fn place(&self) -> ((SocketPermit, Option<SocketPermit>), bool) {
+    /// Takes permits for a new connection, and tells whether the connection is only to be refused. Where no
+    /// permit is free, a connection without an open request is closed, or else a permit for refusals is
+    /// taken. Waiting for one of those is short: refusals take a second at most.
+    async fn acquire_permits(&self) -> ((SocketPermit, Option<SocketPermit>), bool) {
         loop {
-            if let Some(own) = self.budget.try_acquire() {
-                if let Some(socket) = self.servers.permit().await {
-                    return ((own, Some(socket)), false);
+            if let Some(client_permit) = self.client_sockets.try_acquire() {
+                if let Some(process_permit) = self.servers.permit().await {
+                    return ((client_permit, Some(process_permit)), false);
                 }
             }
-            if !self.evict() {
-                if let Some(permit) = self.overflow.try_acquire() {
+            if !self.evict_connection() {
+                if let Some(permit) = self.refusal_sockets.try_acquire() {
                     return ((permit, None), true);
                 }
             }
-            let _ = timeout(HANDOVER, self.ended.notified()).await;
+            let _ = timeout(EVICTION_WAIT, self.connection_closed.notified()).await;
         }
     }
 
-    /// Closes the most dispensable connection, if one may be closed. Never one whose request has come and waits
-    /// in the system's buffer for its task to run.
-    fn evict(&self) -> bool {
-        let conns = self.conns.borrow();
-        let mut spare: Vec<_> = conns.values().map(|conn| (conn.spare(), conn)).collect();
-        spare.retain(|(spare, _)| *spare >= 1.0);
-        spare.sort_unstable_by(|a, b| b.0.total_cmp(&a.0));
-        let most = spare.into_iter().find(|(_, conn)| conn.gives_way());
-        most.inspect(|(_, conn)| conn.shut(true)).is_some()
+    /// Closes the connection with the highest eviction score, if one may be closed; never a connection whose
+    /// request has arrived in the receive buffer and waits for its task to run.
+    fn evict_connection(&self) -> bool {
+        let connections = self.connections.borrow();
+        let mut candidates: Vec<_> =
+            connections.values().map(|connection| (connection.eviction_score(), connection)).collect();
+        candidates.retain(|(score, _)| *score >= 1.0);
+        candidates.sort_unstable_by(|a, b| b.0.total_cmp(&a.0));
+        let evicted = candidates.into_iter().find(|(_, connection)| connection.can_close_without_loss());
+        evicted.inspect(|(_, connection)| connection.request_close(true)).is_some()
     }
 
-    /// Closes connections on which a request takes too long to come, for as long as the node lives.
-    /// Silent and trickling clients would hold all places.
-    async fn look_over(self: Rc<Self>) {
+    /// Closes connections whose request takes too long to arrive and those that are idle for too long, until
+    /// the process ends. Silent and very slow clients would otherwise hold all places.
+    async fn close_overdue_connections(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
-            let conns = self.conns.borrow();
-            // What has come since a task last ran may be all that was missing: that one has until the next look.
-            let overdue = conns.values().filter(|conn| conn.is_overdue() && conn.gives_way());
-            overdue.for_each(|conn| {
-                self.servers.counts.add(Count::TooSlow, usize::from(!conn.is_resting()));
-                conn.shut(true);
+            sleep(OVERDUE_CHECK_INTERVAL).await;
+            let connections = self.connections.borrow();
+            // Unread bytes may be all that a request still lacks: such a connection has until the next check.
+            let overdue = connections
+                .values()
+                .filter(|connection| connection.is_overdue() && connection.can_close_without_loss());
+            overdue.for_each(|connection| {
+                self.servers.counts.add(Count::TooSlow, usize::from(!connection.is_idle()));
+                connection.request_close(true);
             });
         }
     }
 
-    /// Serves a connection until it ends; past the budget only to say so.
-    async fn serve(
+    /// Serves a connection until it ends. With `refuse` its first request is refused and the connection
+    /// closed.
+    async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
         permits: (SocketPermit, Option<SocketPermit>),
         refuse: bool,
     ) {
-        // One that comes this late still gets its one request answered: it counts as taken.
-        let last = self.closing.get();
-        let conn = Conn::new(stream, if refuse || last { REFUSAL } else { SLOW });
-        let number = self.next_conn.replace(self.next_conn.get() + 1);
-        self.conns.borrow_mut().insert(number, conn.clone());
-        let (clients, state) = (self.clone(), conn.clone());
+        // A connection accepted this late still gets one request answered: what was sent before the process
+        // ends counts as accepted.
+        let is_late = self.is_closing.get();
+        let first_request_timeout =
+            if refuse || is_late { LAST_REQUEST_TIMEOUT } else { REQUEST_READ_TIMEOUT };
+        let connection = ClientConnection::new(stream, first_request_timeout);
+        let connection_id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
+        self.connections.borrow_mut().insert(connection_id, connection.clone());
+        let (clients, state) = (self.clone(), connection.clone());
         let service = service_fn(move |request| {
             let (clients, state) = (clients.clone(), state.clone());
             async move {
-                let body_by = state.opened();
-                let (mut response, keep) = if refuse {
-                    (clients.refusal(Some(OVERFULL)), false)
+                let body_deadline = state.begin_request();
+                let (mut response, keep_alive) = if refuse {
+                    (clients.refusal_response(Some(OVERLOAD_RETRY_AFTER)), false)
                 } else {
-                    clients.handle(request, &state, body_by).await
+                    clients.handle_request(request, &state, body_deadline).await
                 };
-                let crowded = clients.budget.used_fraction() > if state.is_first() { CROWDED } else { FULL };
-                // Where a body in chunks ended, and so where a next request begins, only the library knows.
-                let ends =
-                    state.is_overrun() || state.is_chunked_alone() || clients.answer_by.get().is_some();
-                if !keep || crowded || ends {
+                let close_above =
+                    if state.is_first_request() { CLOSE_AFTER_FIRST_ABOVE } else { CLOSE_AFTER_ANY_ABOVE };
+                let is_crowded = clients.client_sockets.used_fraction() > close_above;
+                // Only hyper knows where a chunked body ends, so the next request's first byte would not be
+                // known.
+                let must_close = state.has_read_ahead_overflowed()
+                    || state.is_chunked_only()
+                    || clients.drain_deadline.get().is_some();
+                if !keep_alive || is_crowded || must_close {
                     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
-                state.enter(Phase::Idle);
+                state.enter_phase(Phase::Idle);
                 Ok::<_, Infallible>(response)
             }
         });
-        let left = {
-            let connection = http1::Builder::new()
+        let client_disconnected = {
+            let http = http1::Builder::new()
                 .header_read_timeout(None)
-                .max_buf_size(LONGEST_HEAD)
-                .max_headers(MOST_HEADERS)
-                .serve_connection(TokioIo::new(Socket::new(conn.clone())), service);
-            let mut connection = std::pin::pin!(connection);
+                .max_buf_size(MAX_REQUEST_HEAD_BYTES)
+                .max_headers(MAX_REQUEST_HEADERS)
+                .serve_connection(TokioIo::new(ClientSocket::new(connection.clone())), service);
+            let mut http = std::pin::pin!(http);
             loop {
                 tokio::select! {
-                    ended = connection.as_mut() => {
-                        if let Err(error) = ended {
-                            tracing::debug!(%error, "a client's connection ended");
+                    result = http.as_mut() => {
+                        if let Err(error) = result {
+                            tracing::debug!(%error, "client connection failed");
                         }
                         break false;
                     }
-                    // Dropped, the connection withdraws its request.
-                    () = conn.client_left() => break true,
-                    () = conn.close.notified() => {}
+                    // Dropping `http` drops its open request, which withdraws the request from the driver.
+                    () = connection.wait_for_disconnect() => break true,
+                    () = connection.close_requested.notified() => {}
                 }
-                if conn.is_abrupt() {
-                    if conn.is_unanswered() {
+                if connection.closes_at_once() {
+                    if connection.is_unused() {
                         self.servers.counts.one(Count::ClosedUnanswered);
                     }
                     break false;
                 }
-                // Idle ones end at once, others with their answer.
-                connection.as_mut().graceful_shutdown();
+                // An idle connection ends at once, another one with its response.
+                http.as_mut().graceful_shutdown();
             }
         };
-        if !left {
-            conn.enter(Phase::Closing);
-            conn.linger().await;
+        if !client_disconnected {
+            connection.enter_phase(Phase::Closing);
+            connection.linger().await;
         }
-        drop(conn);
-        // The socket is closed: its place may go to another.
-        self.conns.borrow_mut().remove(&number);
+        drop(connection);
+        // Dropping the last reference closes the socket; only then may another connection take its permits.
+        self.connections.borrow_mut().remove(&connection_id);
         drop(permits);
-        self.ended.notify_waiters();
+        self.connection_closed.notify_waiters();
     }
 
-    /// After SIGTERM: serves on while clients still come, then closes what is idle and returns
-    /// once nothing is held.
+    /// Drains after SIGTERM: serves on while clients still send, then closes idle connections and returns
+    /// once all connections have ended, or the longest deadline has passed.
     pub async fn drain(&self) {
-        let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        let longest = Duration::from_micros(longest);
-        self.answer_by.set(Some(Instant::now() + longest.min(LONGEST_WAIT) + KILL));
-        sleep(DRAIN).await;
-        self.closing.set(true);
-        // On others a request is open or has begun to come: they end with its answer.
-        self.conns.borrow().values().filter(|conn| conn.is_resting()).for_each(|conn| conn.shut(false));
-        // A client that trickles a request must not keep the node up: all that was taken has had
-        // its answer by the longest deadline.
-        let all_ended = async {
+        let longest_us = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = Duration::from_micros(longest_us);
+        self.drain_deadline.set(Some(Instant::now() + longest.min(MAX_KILL_DELAY) + KILL_GRACE));
+        sleep(IDLE_CLOSE_DELAY).await;
+        self.is_closing.set(true);
+        // On the other connections a request is open or has begun to arrive: they end with its response.
+        self.connections
+            .borrow()
+            .values()
+            .filter(|connection| connection.is_idle())
+            .for_each(|connection| connection.request_close(false));
+        let all_closed = async {
             loop {
-                while !self.conns.borrow().is_empty() {
-                    self.ended.notified().await;
+                while !self.connections.borrow().is_empty() {
+                    self.connection_closed.notified().await;
                 }
-                // What waits to be accepted would be reset with the process.
-                sleep(BACKLOG).await;
-                if self.conns.borrow().is_empty() {
+                // Connections still in the backlog would be reset when the process ends.
+                sleep(BACKLOG_DELAY).await;
+                if self.connections.borrow().is_empty() {
                     return;
                 }
             }
         };
-        let _ = timeout(longest + DRAIN, all_ended).await;
+        // A client that sends a request very slowly must not keep the process running: every accepted request
+        // has been answered after the longest deadline.
+        let _ = timeout(longest + IDLE_CLOSE_DELAY, all_closed).await;
     }
 
-    /// The answer, and whether the connection may be kept after it.
-    async fn handle(
+    /// Answers a request; tells also whether the connection may be kept open after the response.
+    async fn handle_request(
         &self,
         request: Request<Incoming>,
-        conn: &Conn,
-        body_by: Instant,
+        connection: &ClientConnection,
+        body_deadline: Instant,
     ) -> (Response<Full<Bytes>>, bool) {
         match request.uri().path() {
             "/-/ready" if request.method() == Method::GET => {
-                let out = self.witness.as_ref().is_some_and(|witness| witness.is_shut_out());
-                let ready = self.answer_by.get().is_none() && !out;
-                (plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, ""), true)
+                let is_out = self.witness.as_ref().is_some_and(|witness| witness.is_shut_out());
+                let is_ready = self.drain_deadline.get().is_none() && !is_out;
+                (
+                    text_response(
+                        if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
+                        "",
+                    ),
+                    true,
+                )
             }
-            "/api" => match self.call(request, conn, body_by).await {
+            "/api" => match self.forward_request(request, connection, body_deadline).await {
                 Ok(response) => (response, true),
-                // Who sends what can't be used is not trusted with where its next request begins.
+                // After a malformed request it is not certain where the next one begins.
                 Err((status, why)) => {
-                    tracing::debug!(%status, why = why.trim_end(), "turned away");
-                    (plain(status, why), false)
+                    tracing::debug!(%status, why = why.trim_end(), "request rejected");
+                    (text_response(status, why), false)
                 }
             },
-            _ => (plain(StatusCode::NOT_FOUND, "no such path\n"), false),
+            _ => (text_response(StatusCode::NOT_FOUND, "no such path\n"), false),
         }
     }
 
-    async fn call(
+    /// Reads a request, hands it to the driver and waits for its response.
+    async fn forward_request(
         &self,
         request: Request<Incoming>,
-        conn: &Conn,
-        body_by: Instant,
-    ) -> Result<Response<Full<Bytes>>, Fault> {
+        connection: &ClientConnection,
+        body_deadline: Instant,
+    ) -> Result<Response<Full<Bytes>>, Rejection> {
         let (parts, body) = request.into_parts();
-        let chunked = conn.is_chunked_alone();
-        let head = Head::read(parts, body.size_hint().lower(), chunked, &self.settings, &self.names)?;
-        if self.held.get() >= self.open_cap {
-            return Ok(self.refusal(Some(OVERFULL)));
+        let min_body_bytes = body.size_hint().lower();
+        let is_chunked_only = connection.is_chunked_only();
+        let head = RequestHead::parse(parts, min_body_bytes, is_chunked_only, &self.settings, &self.names)?;
+        if self.open_requests.get() >= self.max_open_requests {
+            return Ok(self.refusal_response(Some(OVERLOAD_RETRY_AFTER)));
         }
-        let _memory = Counted::new(&self.held);
-        let body = match timeout_at(body_by, Limited::new(body, LONGEST_BODY).collect()).await {
+        let _count = CountGuard::new(&self.open_requests);
+        let body = match timeout_at(body_deadline, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(error)) if error.is::<LengthLimitError>() => {
                 return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"))
@@ -330,16 +365,16 @@
                 return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n"));
             }
         };
-        head.fits(&body)?;
-        conn.set_whole();
-        // A request's time counts from its last byte.
-        let deadline = Instant::now() + head.patience.saturating_sub(MARGIN);
-        let deadline = self.answer_by.get().map_or(deadline, |by| deadline.min(by));
-        let id = self.next_id.replace(self.next_id.get() + 1);
+        head.check_body(&body)?;
+        connection.mark_request_complete();
+        // The client's time counts from the request's last byte.
+        let deadline = Instant::now() + head.time_left.saturating_sub(RESPONSE_MARGIN);
+        let deadline = self.drain_deadline.get().map_or(deadline, |drain| deadline.min(drain));
+        let id = self.next_request_id.replace(self.next_request_id.get() + 1);
         let call = Rc::new(OutgoingRequest::new(head.method, head.target, head.headers, body));
-        // Servers tell requests apart by what clients call them: a second one under an open id would
-        // run its effect twice, or be answered with the other's answer.
-        let Some(_waiting) = Waiting::new(self, id, head.txn, call.clone()) else {
+        // Servers tell requests apart by their X-Txn. A second request with the X-Txn of an open one could
+        // run an effect twice, or get the response to the other.
+        let Some(_open_request) = OpenRequest::register(self, id, head.txn, call.clone()) else {
             return Err((StatusCode::CONFLICT, "a request with this X-Txn is open\n"));
         };
         let (reply, answer) = oneshot::channel();
@@ -348,85 +383,88 @@
             class: ClassId(head.class),
             tenant: head.tenant.map(TenantId),
             key: head.key,
-            repeat: head.repeat,
+            repeat: head.is_client_retry,
             cost: head.cost,
             deadline,
             call,
             reply,
         };
-        if self.tx.send(Msg::Request(Box::new(arrival))).is_err() {
-            return Ok(self.refusal(Some(OVERFULL)));
+        if self.driver.send(Msg::Request(Box::new(arrival))).is_err() {
+            return Ok(self.refusal_response(Some(OVERLOAD_RETRY_AFTER)));
         }
         Ok(match answer.await {
-            Ok(Answer::Served(headers, body)) => served(headers, body),
-            Ok(Answer::Refused(wait)) => self.refusal(wait),
-            Ok(Answer::Failed) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-            Ok(Answer::Late) | Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+            Ok(Answer::Served(headers, body)) => server_response(headers, body),
+            Ok(Answer::Refused(retry_after)) => self.refusal_response(retry_after),
+            Ok(Answer::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
+            Ok(Answer::Late) | Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
         })
     }
 
-    /// A refusal: trying again is harmless.
-    fn refusal(&self, wait: Option<Duration>) -> Response<Full<Bytes>> {
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-        let advice =
-            wait.filter(|_| self.settings.sends_retry_after).map(|wait| format!("{:.3}", wait.as_secs_f64()));
-        if let Some(value) = advice.and_then(|text| HeaderValue::from_str(&text).ok()) {
+    /// A 503, which tells the client that no server ran its request, so that a retry is harmless.
+    fn refusal_response(&self, retry_after: Option<Duration>) -> Response<Full<Bytes>> {
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+        let seconds = retry_after
+            .filter(|_| self.settings.sends_retry_after)
+            .map(|retry_after| format!("{:.3}", retry_after.as_secs_f64()));
+        if let Some(value) = seconds.and_then(|text| HeaderValue::from_str(&text).ok()) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
         }
         response
     }
 }
 
-/// One more of something, until dropped.
-struct Counted<'a>(&'a Cell<usize>);
+/// Adds one to a count until dropped.
+struct CountGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Counted<'a> {
+impl<'a> CountGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
-        Counted(count)
+        CountGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A request that waits for its answer. The connection's future drops it when the client goes.
-struct Waiting<'a> {
+/// A request that waits for its response. hyper's connection future owns it and drops it when the client
+/// disconnects; dropping it withdraws the request from the driver.
+struct OpenRequest<'a> {
     clients: &'a Clients,
     id: u64,
     txn: String,
     call: Rc<OutgoingRequest>,
 }
 
-impl<'a> Waiting<'a> {
-    /// `None` where the client's name for it is taken.
-    fn new(clients: &'a Clients, id: u64, txn: String, call: Rc<OutgoingRequest>) -> Option<Self> {
-        let new = clients.open.borrow_mut().insert(txn.clone());
-        new.then(|| Waiting { clients, id, txn, call })
+impl<'a> OpenRequest<'a> {
+    /// Registers the request's `X-Txn`; `None` if an open request has the same one.
+    fn register(clients: &'a Clients, id: u64, txn: String, call: Rc<OutgoingRequest>) -> Option<Self> {
+        let is_new = clients.open_txns.borrow_mut().insert(txn.clone());
+        is_new.then(|| OpenRequest { clients, id, txn, call })
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.clients.open.borrow_mut().remove(&self.txn);
-        // At once, not when the driver comes to it: an attempt may be about to be written.
+        self.clients.open_txns.borrow_mut().remove(&self.txn);
+        // Set here and not only when the driver handles the message: an attempt may be about to be written.
         self.call.is_finished.set(true);
-        // For one that was answered the driver has forgotten the id, or knows it as ended.
-        let _ = self.clients.tx.send(Msg::Disconnected(self.id));
+        // If the request was answered, the driver has forgotten the id or knows that the request has ended.
+        let _ = self.clients.driver.send(Msg::Disconnected(self.id));
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-fn served(mut headers: HeaderMap, body: Bytes) -> Response<Full<Bytes>> {
-    drop_hop_headers(&mut headers);
+/// A server's response as it goes to the client: without hop-by-hop headers and the server's load report.
+fn server_response(mut headers: HeaderMap, body: Bytes) -> Response<Full<Bytes>> {
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove("x-pressure");
     let mut response = Response::new(Full::new(body));
     *response.headers_mut() = headers;
--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -1,4 +1,5 @@
-//! One connection to a server, one request on it, and what its answer proves.
+//! An HTTP/1.1 connection to a server: sends one request at a time, reads the whole response and classifies
+//! it.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -27,27 +28,32 @@
 use crate::stream;
 use crate::witness::HEADER;
 
-/// The longest body of a request or an answer.
-pub const LONGEST_BODY: usize = 64 * 1024;
-/// The longest head of an answer, and all that may come for one request: heads that don't end, or
-/// 1xx answers without number, would keep the node reading until the deadline.
-const LONGEST_HEAD: usize = 32 * 1024;
-const LONGEST_ANSWER: usize = LONGEST_BODY + 2 * LONGEST_HEAD;
-/// An answer's body that stands still for this long will not be whole.
-const STALL: Duration = Duration::from_millis(500);
-/// A connection rests this long after an answer: what comes right behind one, a second copy or the
-/// server's close, would else be taken for the answer to the next request, or lose it.
+/// Largest body of a request or a response.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest head of a response.
+const MAX_RESPONSE_HEAD_BYTES: usize = 32 * 1024;
+/// Most headers of a response.
+const MAX_RESPONSE_HEADERS: usize = 64;
+/// Most bytes read from the server for one request. Without this limit an endless head or an endless series
+/// of 1xx responses would keep the node reading until the deadline.
+const MAX_RESPONSE_BYTES: usize = MAX_BODY_BYTES + 2 * MAX_RESPONSE_HEAD_BYTES;
+/// A response fails if no part of its body arrives for this long.
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(500);
+/// A connection is not reused until it has been idle for this long after a response. A duplicate response
+/// that arrives right behind the first one would be taken for the response to the next request, and a close
+/// by the server would lose the next request.
 pub const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
-/// A client's request as it goes on to servers, headers of one connection left out.
+/// A request as the node sends it to servers: a client's, without its hop-by-hop headers, or a probe.
 pub struct OutgoingRequest {
     pub method: Method,
     pub target: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// It has its answer, or its client is gone: nothing of it that is not written goes out.
+    /// The request was answered or its client disconnected: no further attempt may be written.
     pub is_finished: Cell<bool>,
-    /// Something of it was written to a server.
+    /// Whether an attempt was handed to a server connection for writing, so that a server may have seen the
+    /// request.
     pub was_sent: Cell<bool>,
 }
 
@@ -64,30 +70,34 @@
     }
 }
 
-/// A socket that the library's connection reads and the node looks at before it is used again.
-struct Wire {
+/// A server connection's socket, shared by hyper, which reads and writes on it, and the node, which checks it
+/// before the connection is reused.
+struct SharedSocket {
     stream: TcpStream,
-    /// Bytes that may still come; none while no request is out.
-    left: Cell<usize>,
-    /// Whether anything came since the request was written.
-    heard: Cell<bool>,
+    /// Bytes that the server may still send; 0 while no request is open, so that unsolicited data is an
+    /// error.
+    allowed_bytes: Cell<usize>,
+    /// Whether any byte arrived since the last request was sent.
+    has_received_bytes: Cell<bool>,
 }
 
-struct Socket(Rc<Wire>);
+/// The socket in the form that hyper reads and writes.
+struct SocketIo(Rc<SharedSocket>);
 
-impl AsyncRead for Socket {
+impl AsyncRead for SocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let wire = &self.0;
-        let count = ready!(stream::poll_read(&wire.stream, cx, buf))?;
-        let left = wire.left.get().checked_sub(count);
-        let left = left.ok_or_else(|| io::Error::other("more than an answer may have"))?;
-        wire.left.set(left);
-        wire.heard.set(wire.heard.get() || count > 0);
+        let socket = &self.0;
+        let count = ready!(stream::poll_read(&socket.stream, cx, buf))?;
+        let remaining = socket.allowed_bytes.get().checked_sub(count);
+        let remaining = remaining
+            .ok_or_else(|| io::Error::other("the server sent more than the largest allowed response"))?;
+        socket.allowed_bytes.set(remaining);
+        socket.has_received_bytes.set(socket.has_received_bytes.get() || count > 0);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for SocketIo {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         stream::poll_write(&self.0.stream, cx, |stream| stream.try_write(data))
     }
@@ -113,102 +123,115 @@
     }
 }
 
-/// A connection to a server. Closed when dropped.
+/// A connection to a server; dropping it closes the socket.
 pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
-    wire: Rc<Wire>,
-    _connection: AbortOnDrop,
-    /// The server's epoch when it was opened.
+    socket: Rc<SharedSocket>,
+    /// The task in which hyper reads and writes the socket.
+    _io_task: AbortOnDrop,
+    /// The server's epoch when the connection was opened; connections of an earlier epoch are not used.
     pub epoch: u64,
+    /// When the connection last became idle.
     pub idle_since: Instant,
 }
 
-/// What a request on a connection came to.
+/// How a request on a server connection ended.
 pub enum ExchangeResult {
-    /// Nothing of it was written.
+    /// No byte of the request was written.
     Unsent,
-    /// The connection broke or no answer can come of what came; it may have run.
+    /// The connection broke or the response was malformed; the server may have run the request.
     Broken,
+    /// A complete response.
     Response {
         status: StatusCode,
         headers: HeaderMap,
         body: Bytes,
-        /// Whether the connection may be used again.
+        /// Whether the response leaves the connection usable for another request.
         allows_reuse: bool,
     },
 }
 
 impl ServerConnection {
+    /// Connects to a server. The permit is held until the socket is closed.
     pub async fn dial(addr: SocketAddr, epoch: u64, permit: SocketPermit) -> io::Result<ServerConnection> {
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
-        let wire = Rc::new(Wire { stream, left: Cell::new(0), heard: Cell::new(false) });
+        let socket = Rc::new(SharedSocket {
+            stream,
+            allowed_bytes: Cell::new(0),
+            has_received_bytes: Cell::new(false),
+        });
         let (sender, connection) = http1::Builder::new()
-            .max_headers(64)
-            .max_buf_size(LONGEST_HEAD)
-            .handshake(TokioIo::new(Socket(wire.clone())))
+            .max_headers(MAX_RESPONSE_HEADERS)
+            .max_buf_size(MAX_RESPONSE_HEAD_BYTES)
+            .handshake(TokioIo::new(SocketIo(socket.clone())))
             .await
             .map_err(io::Error::other)?;
-        let connection = AbortOnDrop::spawn(async move {
+        let io_task = AbortOnDrop::spawn(async move {
             let _permit = permit;
             let _ = connection.await;
         });
-        Ok(ServerConnection { sender, wire, _connection: connection, epoch, idle_since: Instant::now() })
+        Ok(ServerConnection { sender, socket, _io_task: io_task, epoch, idle_since: Instant::now() })
     }
 
+    /// Whether hyper has noticed that the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether it is open and nothing came on it unasked. Asks the system: what the runtime knows of
-    /// the socket may be older than a second copy that waits on it.
+    /// Whether the connection is open and has no unread bytes. Peeks at the socket, because the runtime's
+    /// view of its readiness may be older than a duplicate response that is already in the receive buffer.
     pub fn is_reusable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        let nothing = SockRef::from(&self.wire.stream).peek(&mut byte);
-        !self.is_closed() && nothing.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+        let peeked = SockRef::from(&self.socket.stream).peek(&mut byte);
+        !self.is_closed() && peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether anything came back for the request that was written last.
+    /// Whether any byte arrived since the last request was sent.
     pub fn has_received_bytes(&self) -> bool {
-        self.wire.heard.get()
+        self.socket.has_received_bytes.get()
     }
 
+    /// Waits until the connection can take a request.
     pub async fn wait_until_ready(&mut self) -> hyper::Result<()> {
         self.sender.ready().await
     }
 
+    /// Sends a request and reads the whole response.
     pub async fn send_request(&mut self, request: Request<Full<Bytes>>) -> ExchangeResult {
-        self.wire.left.set(LONGEST_ANSWER);
-        self.wire.heard.set(false);
+        self.socket.allowed_bytes.set(MAX_RESPONSE_BYTES);
+        self.socket.has_received_bytes.set(false);
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
-            // Only a message that comes back is certain not to have gone out.
+            // hyper returns the request with the error only if no byte of it was written.
             Err(error) if error.message().is_some() => return ExchangeResult::Unsent,
             Err(_) => return ExchangeResult::Broken,
         };
-        let whole = whole(response).await;
-        self.wire.left.set(0);
-        whole.unwrap_or(ExchangeResult::Broken)
+        let result = read_response(response).await;
+        self.socket.allowed_bytes.set(0);
+        result.unwrap_or(ExchangeResult::Broken)
     }
 }
 
-/// Reads an answer to its end, the whole body first: one that breaks half-way is still an outcome, and
-/// the client has seen nothing of it. `None` for one that can't be trusted.
-async fn whole(response: Response<Incoming>) -> Option<ExchangeResult> {
+/// Reads a response with its whole body before any of it is passed on, so that the client has seen nothing of
+/// one that breaks halfway and the attempt still has an outcome. Returns `None` for a malformed, oversized or
+/// broken response.
+async fn read_response(response: Response<Incoming>) -> Option<ExchangeResult> {
     let (head, mut incoming) = response.into_parts();
     let framings = [CONTENT_LENGTH, TRANSFER_ENCODING].map(|name| head.headers.contains_key(name));
     let upgraded = head.status == StatusCode::SWITCHING_PROTOCOLS;
-    // Two framings may be read in two ways. A length beyond what bodies may have is known for wrong
-    // before the first byte of it.
-    if framings == [true, true] || upgraded || incoming.size_hint().lower() > LONGEST_BODY as u64 {
+    // With both framing headers the end of the body is ambiguous. A Content-Length above the limit is
+    // rejected before any of the body is read.
+    if framings == [true, true] || upgraded || incoming.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return None;
     }
-    // Without a length its end is the connection's: an orderly one ends it, a reset is an error below.
+    // Without framing headers the body ends with the connection: an orderly close completes it, a reset is an
+    // error from `frame` below.
     let allows_reuse = framings != [false, false] || incoming.is_end_stream();
     let mut body = BytesMut::new();
-    while let Some(frame) = timeout(STALL, incoming.frame()).await.ok()? {
+    while let Some(frame) = timeout(BODY_STALL_TIMEOUT, incoming.frame()).await.ok()? {
         let Ok(data) = frame.ok()?.into_data() else { continue };
-        if body.len() + data.len() > LONGEST_BODY {
+        if body.len() + data.len() > MAX_BODY_BYTES {
             return None;
         }
         body.extend_from_slice(&data);
@@ -217,23 +240,24 @@
     Some(ExchangeResult::Response { status, headers, body, allows_reuse })
 }
 
-/// The request as it goes to a server.
+/// Builds the HTTP request for one attempt. `deadline` is the attempt's, which the server is told; `acted_on`
+/// is the header that names the revision of the server list behind the decision.
 pub fn build_request(
-    call: &OutgoingRequest,
+    outgoing: &OutgoingRequest,
     addr: SocketAddr,
-    until: Instant,
+    deadline: Instant,
     acted_on: Option<&HeaderValue>,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(call.body.clone()));
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.target.clone();
-    *request.headers_mut() = call.headers.clone();
-    let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
+    let mut request = Request::new(Full::new(outgoing.body.clone()));
+    *request.method_mut() = outgoing.method.clone();
+    *request.uri_mut() = outgoing.target.clone();
+    *request.headers_mut() = outgoing.headers.clone();
+    let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
     let headers = request.headers_mut();
     if let Some(acted_on) = acted_on {
         headers.insert(HEADER, acted_on.clone());
     }
-    headers.insert("x-remaining-ms", HeaderValue::from(left.max(1)));
+    headers.insert("x-remaining-ms", HeaderValue::from(remaining_ms.max(1)));
     if !headers.contains_key(HOST) {
         if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
             headers.insert(HOST, host);
@@ -242,24 +266,25 @@
     request
 }
 
-/// What an answer means. Only the header proves that a request was turned away unseen: 503 and
-/// 504 without it may come from a request that ran.
+/// Classifies a response. Only the header `x-turned-away: 1` proves that the server rejected the request
+/// without running it: a 503 or 504 without the header may come from a request that ran.
 pub fn classify_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let turned_away = headers.get("x-turned-away").is_some_and(|value| value == "1");
+    let was_rejected_unrun = headers.get("x-turned-away").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if was_rejected_unrun => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
-/// A load report, in the order of the settings; one that can't be read whole is none.
+/// Parses the load report of a response, with the values in the order of `fields`. Returns an empty list if
+/// the report is malformed or a field is missing or out of range.
 pub fn parse_load_report(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
     let Some(text) = headers.get("x-pressure") else { return Vec::new() };
     let report: HashMap<String, f64> = serde_json::from_slice(text.as_bytes()).unwrap_or_default();
-    let sound = |value: &f64| (0.0..1e6).contains(value);
-    let figures = fields.iter().map(|field| report.get(field).copied().filter(sound));
-    figures.collect::<Option<_>>().unwrap_or_default()
+    let in_range = |value: &f64| (0.0..1e6).contains(value);
+    let values = fields.iter().map(|field| report.get(field).copied().filter(in_range));
+    values.collect::<Option<_>>().unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/src/bin/woodgap/guards.rs
+++ b/src/bin/woodgap/guards.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner, and the count of open sockets.
+//! Values that release a resource when they are dropped: running tasks and places for open sockets.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -6,10 +6,11 @@
 
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A task that is ended when this is dropped: what it holds open is closed with it.
+/// Aborts a task when dropped, which also closes the sockets that the task owns.
 pub struct AbortOnDrop(AbortHandle);
 
 impl AbortOnDrop {
+    /// Starts a task on the current thread.
     pub fn spawn(future: impl Future<Output = ()> + 'static) -> Self {
         AbortOnDrop(spawn_local(future).abort_handle())
     }
@@ -21,29 +22,32 @@
     }
 }
 
-/// A share of the process's file descriptors.
+/// Limits how many sockets of one kind are open, so that the process stays within its file descriptors.
 pub struct SocketBudget {
-    most: usize,
+    limit: usize,
     used: Cell<usize>,
 }
 
-/// One open socket; gives its place back when dropped.
+/// The right to hold one socket open; dropping it returns the place to the budget.
 pub struct SocketPermit(Rc<SocketBudget>);
 
 impl SocketBudget {
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(SocketBudget { most, used: Cell::new(0) })
+    /// A budget of at most `limit` open sockets.
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(SocketBudget { limit, used: Cell::new(0) })
     }
 
+    /// Whether no place is free.
     pub fn is_full(&self) -> bool {
-        self.used.get() >= self.most
+        self.used.get() >= self.limit
     }
 
-    /// The part that is taken.
+    /// The part of the budget in use, from 0 to 1.
     pub fn used_fraction(&self) -> f64 {
-        self.used.get() as f64 / self.most.max(1) as f64
+        self.used.get() as f64 / self.limit.max(1) as f64
     }
 
+    /// Takes a place if one is free.
     pub fn try_acquire(self: &Rc<Self>) -> Option<SocketPermit> {
         if self.is_full() {
             return None;
--- a/src/bin/woodgap/log.rs
+++ b/src/bin/woodgap/log.rs
@@ -1,8 +1,8 @@
-//! The log: standard error, in text or JSON, at most so many lines a second.
+//! The log on standard error, as text or JSON, limited to a number of lines per second.
 //!
-//! `BALANCER_LOG_FORMAT` is `text` (as where it is not set) or `json`; `RUST_LOG` names what is logged, as
-//! `debug` or `woodgap::discovery=debug`. Each line carries the node's name, and where it concerns one the
-//! request (the client's id), the server or the list's revision.
+//! `BALANCER_LOG_FORMAT` is `text` (the default) or `json`. `RUST_LOG` selects what is logged, for example
+//! `debug` or `woodgap::discovery=debug`. Each line carries the node's name and, where it concerns one of
+//! them, the request (the client's id), the server or the revision of the server list.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -15,11 +15,13 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, registry};
 
-const LINES_PER_S: u32 = 20;
-const SECOND: Duration = Duration::from_secs(1);
+/// Most lines in one window of the rate limit.
+const MAX_LINES_PER_WINDOW: u32 = 20;
+/// Length of a window of the rate limit.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Starts the log; to be called once.
-pub fn start(env: &HashMap<String, String>) -> Result<(), Box<dyn std::error::Error>> {
+/// Installs the log for the process; to be called once.
+pub fn init(env: &HashMap<String, String>) -> Result<(), Box<dyn std::error::Error>> {
     let filter = match env.get("RUST_LOG").filter(|text| !text.is_empty()) {
         None => Targets::new().with_default(LevelFilter::INFO),
         Some(text) => text.parse().map_err(|error| format!("RUST_LOG '{text}': {error}"))?,
@@ -30,60 +32,65 @@
         Some("json") => lines.json().with_span_list(false).boxed(),
         Some(other) => return Err(format!("BALANCER_LOG_FORMAT '{other}': expected text or json").into()),
     };
-    // Events pass the filter first, then the bound, and are written last.
+    // Events pass the filter first, then the rate limit, and are written last.
     registry()
         .with(lines)
-        .with(Bound { window: Mutex::default(), now: Instant::now })
+        .with(RateLimit { window: Mutex::default(), now: Instant::now })
         .with(filter)
         .try_init()?;
     Ok(())
 }
 
-/// Lets so many lines a second through: a fault that repeats with every request must not cost the node its
-/// time.
-struct Bound {
+/// Drops log lines beyond `MAX_LINES_PER_WINDOW`: a fault that repeats with every request must not take up
+/// the node's time.
+struct RateLimit {
     window: Mutex<Window>,
     now: fn() -> Instant,
 }
 
+/// The current window of the rate limit.
 #[derive(Default)]
 struct Window {
+    /// When the window began; `None` before the first line.
     since: Option<Instant>,
+    /// Lines in this window, dropped ones included.
     lines: u32,
 }
 
+/// What happens to a line.
 #[derive(Debug, PartialEq)]
-enum Pass {
+enum Verdict {
     Write,
-    /// Write it after a line that tells how many were dropped before.
-    WriteAfter(u32),
+    /// Write the line after one that reports how many lines the previous window dropped.
+    WriteAfterReport(u32),
     Drop,
 }
 
 impl Window {
-    fn take(&mut self, now: Instant) -> Pass {
+    /// Counts a line and decides what happens to it.
+    fn count_line(&mut self, now: Instant) -> Verdict {
         let mut dropped = 0;
-        if self.since.is_none_or(|since| now - since >= SECOND) {
-            dropped = self.lines.saturating_sub(LINES_PER_S);
+        if self.since.is_none_or(|since| now - since >= WINDOW) {
+            dropped = self.lines.saturating_sub(MAX_LINES_PER_WINDOW);
             *self = Window { since: Some(now), lines: 0 };
         }
         self.lines += 1;
         match dropped {
-            0 if self.lines > LINES_PER_S => Pass::Drop,
-            0 => Pass::Write,
-            dropped => Pass::WriteAfter(dropped),
+            0 if self.lines > MAX_LINES_PER_WINDOW => Verdict::Drop,
+            0 => Verdict::Write,
+            dropped => Verdict::WriteAfterReport(dropped),
         }
     }
 }
 
-impl<S: Subscriber> Layer<S> for Bound {
+impl<S: Subscriber> Layer<S> for RateLimit {
     fn event_enabled(&self, _: &Event<'_>, _: Context<'_, S>) -> bool {
-        let pass = self.window.lock().unwrap_or_else(PoisonError::into_inner).take((self.now)());
-        if let Pass::WriteAfter(dropped) = pass {
-            // This comes by here itself, in a window that has room for it.
-            tracing::warn!(dropped, "lines of the log were dropped");
+        let verdict = self.window.lock().unwrap_or_else(PoisonError::into_inner).count_line((self.now)());
+        if let Verdict::WriteAfterReport(dropped) = verdict {
+            // This line passes through the rate limit itself, in a new window that has room for it.
+            tracing::warn!(dropped, "log lines dropped by the rate limit");
         }
-        pass != Pass::Drop
+        verdict != Verdict::Drop
     }
 }
 
@@ -98,25 +105,30 @@
     use super::*;
 
     #[test]
-    fn so_many_lines_a_second_pass_and_the_others_are_counted() {
+    fn lines_beyond_the_limit_are_dropped_and_counted() {
         let (mut window, start) = (Window::default(), Instant::now());
-        let passes: Vec<Pass> = (0..50).map(|_| window.take(start)).collect();
-        assert_eq!(passes.iter().filter(|pass| **pass == Pass::Write).count(), LINES_PER_S as usize);
-        assert_eq!(window.take(start + SECOND - Duration::from_millis(1)), Pass::Drop);
-        assert_eq!(window.take(start + SECOND), Pass::WriteAfter(31));
-        assert_eq!(window.take(start + SECOND), Pass::Write);
-        assert_eq!(window.take(start + SECOND * 3), Pass::Write);
+        let verdicts: Vec<Verdict> = (0..50).map(|_| window.count_line(start)).collect();
+        assert_eq!(
+            verdicts.iter().filter(|verdict| **verdict == Verdict::Write).count(),
+            MAX_LINES_PER_WINDOW as usize
+        );
+        assert_eq!(window.count_line(start + WINDOW - Duration::from_millis(1)), Verdict::Drop);
+        assert_eq!(window.count_line(start + WINDOW), Verdict::WriteAfterReport(31));
+        assert_eq!(window.count_line(start + WINDOW), Verdict::Write);
+        assert_eq!(window.count_line(start + WINDOW * 3), Verdict::Write);
     }
 
+    /// The rate limit's clock in the test below: a fixed start and the windows passed since then.
     static START: LazyLock<Instant> = LazyLock::new(Instant::now);
-    static SECONDS: AtomicU64 = AtomicU64::new(0);
-    static WRITTEN: Mutex<Vec<u8>> = Mutex::new(Vec::new());
+    static WINDOWS: AtomicU64 = AtomicU64::new(0);
+    static OUTPUT: Mutex<Vec<u8>> = Mutex::new(Vec::new());
 
-    struct Written;
+    /// A writer that appends to `OUTPUT`.
+    struct OutputWriter;
 
-    impl Write for Written {
+    impl Write for OutputWriter {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-            WRITTEN.lock().unwrap().write(bytes)
+            OUTPUT.lock().unwrap().write(bytes)
         }
 
         fn flush(&mut self) -> io::Result<()> {
@@ -125,12 +137,12 @@
     }
 
     #[test]
-    fn a_line_tells_how_many_were_dropped() {
-        let now = || *START + SECOND * SECONDS.load(Ordering::Relaxed) as u32;
-        // As `start` lays it out, but for this module's own events alone: other tests run beside it.
+    fn a_line_reports_how_many_lines_were_dropped() {
+        let now = || *START + WINDOW * WINDOWS.load(Ordering::Relaxed) as u32;
+        // The layers of `init`, but only for this module's events: other tests run at the same time.
         registry()
-            .with(fmt::layer().json().with_span_list(false).with_writer(|| Written))
-            .with(Bound { window: Mutex::default(), now })
+            .with(fmt::layer().json().with_span_list(false).with_writer(|| OutputWriter))
+            .with(RateLimit { window: Mutex::default(), now })
             .with(Targets::new().with_target(module_path!().trim_end_matches("::tests"), LevelFilter::INFO))
             .init();
         let _node = tracing::info_span!("node", node = "n3").entered();
@@ -138,11 +150,11 @@
             tracing::info!(request = "abc", n, "flood");
             tracing::debug!("is not logged and does not count");
         }
-        SECONDS.store(1, Ordering::Relaxed);
+        WINDOWS.store(1, Ordering::Relaxed);
         tracing::info!("after it");
-        let text = String::from_utf8(WRITTEN.lock().unwrap().clone()).unwrap();
+        let text = String::from_utf8(OUTPUT.lock().unwrap().clone()).unwrap();
         let lines: Vec<Value> = text.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
-        assert_eq!(lines.len(), LINES_PER_S as usize + 2);
+        assert_eq!(lines.len(), MAX_LINES_PER_WINDOW as usize + 2);
         assert!(lines.iter().all(|line| line["span"]["node"] == "n3"), "{text}");
         assert_eq!((&lines[19]["fields"]["n"], &lines[19]["fields"]["request"]), (&19.into(), &"abc".into()));
         assert_eq!(lines[20]["fields"]["dropped"], 30);
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -1,7 +1,7 @@
-//! One node of the load balancer, on real sockets: see `deploy/balancer.toml`.
+//! One node of the load balancer, on real sockets. `deploy/balancer.toml` shows how it is deployed.
 //!
-//! The node decides nothing. It turns what happens on its sockets into the module's events and
-//! carries out the module's actions.
+//! This program makes no decisions by itself. It turns what happens on its sockets into events for the policy
+//! (`woodgap::Balancer`) and carries out the actions that the policy returns.
 #![forbid(unsafe_code)]
 
 mod client_connection;
@@ -36,14 +36,16 @@
 use witness::Witness;
 use woodgap::config::{self, Config, REJECTION_CONNECTIONS, RESERVED_DESCRIPTORS};
 
-/// Clients' part of the sockets: requests in flight need as many to servers, and clients keep idle
-/// connections too.
-const CLIENTS: f64 = 0.6;
-/// A request held may have a whole body and a whole answer in memory; half of it is for them.
-const HELD_BYTES: usize = 4 * exchange::LONGEST_BODY;
+/// Part of the sockets that clients may use. Open requests need as many sockets to servers, and clients keep
+/// idle connections too.
+const CLIENT_SOCKET_FRACTION: f64 = 0.6;
+/// Memory reckoned for one open request: twice its largest request and response body together, so that bodies
+/// take up at most half of the node's memory.
+const OPEN_REQUEST_BYTES: usize = 4 * exchange::MAX_BODY_BYTES;
 
-async fn run(config: Config, path: String) -> Result<(), Box<dyn Error>> {
-    // Before the node is ready: an unhandled SIGHUP ends the process.
+/// Runs the node until SIGTERM has been handled or one of its main tasks ends.
+async fn run(config: Config, config_path: String) -> Result<(), Box<dyn Error>> {
+    // Installed before the node reports that it is ready: a SIGHUP without a handler ends the process.
     let mut term = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
@@ -53,18 +55,19 @@
         None => None,
     };
     let (tx, rx) = mpsc::unbounded_channel();
-    let all = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
-    let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(all));
+    let sockets = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
+    let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(sockets));
     let witness = config.is_audited.then(|| Witness::new(&config.name));
     let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
     let mut driver = Driver::new(&config, servers.clone(), peers.clone(), witness.clone(), tx.clone());
     driver.start(&config.cached_list);
+    let client_sockets = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
     let clients = Clients::new(
         config.settings,
         config.request_names,
-        config.node_settings.max_open_requests.min((config.max_memory_bytes / HELD_BYTES).max(1)),
+        config.node_settings.max_open_requests.min((config.max_memory_bytes / OPEN_REQUEST_BYTES).max(1)),
         servers,
-        (SocketBudget::new((all as f64 * CLIENTS) as usize), SocketBudget::new(REJECTION_CONNECTIONS)),
+        (SocketBudget::new(client_sockets), SocketBudget::new(REJECTION_CONNECTIONS)),
         witness.clone(),
         tx.clone(),
     );
@@ -82,53 +85,60 @@
     }
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            match read(&path).and_then(|text| Ok(config::parse_discovery_address(&text)?)) {
+            match read_file(&config_path).and_then(|text| Ok(config::parse_discovery_address(&text)?)) {
                 Ok(addr) => {
-                    info!(discovery = %addr, "configuration read again");
+                    info!(discovery = %addr, "configuration reloaded");
                     agent.set(addr);
                     let _ = tx.send(Msg::Discovery(addr));
                 }
-                Err(error) => warn!(%error, "configuration kept"),
+                Err(error) => warn!(%error, "configuration not reloaded; the old one stays in effect"),
             }
         }
     });
     let driver = spawn_local(driver.run(rx));
-    let acceptor = spawn_local(clients.clone().accept(listener));
+    let acceptor = spawn_local(clients.clone().accept_connections(listener));
     info!(%listen, "ready");
-    let serve = async {
+    let drain_on_sigterm = async {
         term.recv().await;
         info!("drains");
         clients.drain().await;
     };
-    // Without its driver or acceptor a node answers nobody; the platform starts a new one.
+    // Without the driver or the acceptor the node answers no requests; it ends so that the platform starts a
+    // new one.
     tokio::select! {
-        () = serve => Ok(()),
-        ended = driver => Err(format!("the driver ended: {ended:?}").into()),
-        ended = acceptor => Err(format!("the acceptor ended: {ended:?}").into()),
+        () = drain_on_sigterm => Ok(()),
+        ended = driver => Err(format!("the driver task ended: {ended:?}").into()),
+        ended = acceptor => Err(format!("the task that accepts connections ended: {ended:?}").into()),
     }
 }
 
-fn read(path: &str) -> Result<String, Box<dyn Error>> {
+fn read_file(path: &str) -> Result<String, Box<dyn Error>> {
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?)
 }
 
+/// Reads the configuration, starts the log and runs the node.
 fn start() -> Result<(), Box<dyn Error>> {
     let env: std::collections::HashMap<String, String> = std::env::vars_os()
         .filter_map(|(k, v)| Some((k.into_string().ok()?, v.into_string().ok()?)))
         .collect();
     let path = env.get("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?;
-    let (config, findings) = Config::parse(&read(path)?, &env);
+    let (config, findings) = Config::parse(&read_file(path)?, &env);
     let config = config.ok_or_else(|| format!("{path}: {findings}"))?;
-    log::start(&env)?;
-    // All of it runs on this thread, so each line of the log has the name.
+    log::init(&env)?;
+    // The node runs on this thread alone, so every log line carries the span's field with the node's name.
     let _node = info_span!("node", node = config.name).entered();
     for finding in findings.all() {
-        warn!(path = finding.path, expected = finding.expected, found = finding.found, "left out");
+        warn!(
+            path = finding.path,
+            expected = finding.expected,
+            found = finding.found,
+            "invalid configuration value ignored"
+        );
     }
     if !findings.defaults().is_empty() {
-        let assumed: Vec<_> =
-            findings.defaults().iter().map(|(path, stands)| format!("{path}={stands}")).collect();
-        warn!(assumed = assumed.join(" "), "not told by the settings");
+        let defaults: Vec<_> =
+            findings.defaults().iter().map(|(path, default)| format!("{path}={default}")).collect();
+        warn!(assumed = defaults.join(" "), "settings missing; using defaults");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(run(config, path.clone())))
--- a/src/bin/woodgap/peers.rs
+++ b/src/bin/woodgap/peers.rs
@@ -1,50 +1,56 @@
-//! Datagrams between nodes.
+//! UDP datagrams between the nodes of one load balancer.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::net::UdpSocket;
 
-/// The longest datagram.
-const LONGEST: usize = 256;
+/// Largest datagram that is sent or accepted.
+const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The nodes of this tier, by their numbers.
+/// A socket for datagrams to and from the other nodes.
 pub struct Peers {
     socket: UdpSocket,
-    peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    /// The peers' addresses; a peer's number is its index.
+    addresses: Vec<SocketAddr>,
+    /// The address at which one datagram reaches all of them.
+    broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
+    /// Opens the socket at `listen`.
     pub async fn bind(
         listen: SocketAddr,
-        peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
+        addresses: Vec<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> std::io::Result<Rc<Self>> {
-        Ok(Rc::new(Peers { socket: UdpSocket::bind(listen).await?, peers, all }))
+        Ok(Rc::new(Peers { socket: UdpSocket::bind(listen).await?, addresses, broadcast }))
     }
 
-    /// Sends to one node or to all. A datagram that can't go out now is lost, as it may be anyway.
+    /// Sends to one peer, or to all with `None`. A datagram that can't be sent at once is dropped: datagrams
+    /// may be lost on the network anyway.
     pub fn send(&self, peer: Option<u32>, data: &[u8]) {
-        let to = match peer {
-            Some(peer) => self.peers.get(peer as usize).copied(),
-            None => self.all,
+        let destination = match peer {
+            Some(peer) => self.addresses.get(peer as usize).copied(),
+            None => self.broadcast,
         };
-        if let Some(to) = to.filter(|_| data.len() <= LONGEST) {
-            let _ = self.socket.try_send_to(data, to);
+        if let Some(destination) = destination.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
+            let _ = self.socket.try_send_to(data, destination);
         }
     }
 
-    /// The next datagram of a known node that is no longer than allowed; others are dropped.
+    /// Receives the next datagram and the number of the peer that sent it. Datagrams that are too long or
+    /// come from an unknown address are dropped.
     pub async fn receive(&self) -> (u32, Vec<u8>) {
-        let mut buffer = [0; LONGEST + 1];
+        // One byte more than allowed, so that a longer datagram is told from one of the largest size.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            let sender = self.peers.iter().position(|&peer| peer == from);
-            if let Some(sender) = sender.filter(|_| size <= LONGEST) {
+            let sender = self.addresses.iter().position(|&address| address == from);
+            if let Some(sender) = sender.filter(|_| size <= MAX_DATAGRAM_BYTES) {
                 return (sender as u32, buffer[..size].to_vec());
             }
         }
@@ -56,16 +62,16 @@
     use super::*;
 
     #[tokio::test]
-    async fn drops_what_is_too_long_or_from_strangers() {
-        let any = "127.0.0.1:0";
-        let known = UdpSocket::bind(any).await.unwrap();
-        let stranger = UdpSocket::bind(any).await.unwrap();
-        let peers = [stranger.local_addr().unwrap(), known.local_addr().unwrap()];
-        let node = Peers::bind(any.parse().unwrap(), vec![peers[1]], None).await.unwrap();
-        let to = node.socket.local_addr().unwrap();
-        stranger.send_to(b"x", to).await.unwrap();
-        known.send_to(&[7; LONGEST + 1], to).await.unwrap();
-        known.send_to(&[8; LONGEST], to).await.unwrap();
-        assert_eq!(node.receive().await, (0, vec![8; LONGEST]));
+    async fn datagrams_that_are_too_long_or_from_unknown_addresses_are_dropped() {
+        let any_port = "127.0.0.1:0";
+        let known = UdpSocket::bind(any_port).await.unwrap();
+        let unknown = UdpSocket::bind(any_port).await.unwrap();
+        let known_address = known.local_addr().unwrap();
+        let peers = Peers::bind(any_port.parse().unwrap(), vec![known_address], None).await.unwrap();
+        let destination = peers.socket.local_addr().unwrap();
+        unknown.send_to(b"x", destination).await.unwrap();
+        known.send_to(&[7; MAX_DATAGRAM_BYTES + 1], destination).await.unwrap();
+        known.send_to(&[8; MAX_DATAGRAM_BYTES], destination).await.unwrap();
+        assert_eq!(peers.receive().await, (0, vec![8; MAX_DATAGRAM_BYTES]));
     }
 }
--- a/src/bin/woodgap/stream.rs
+++ b/src/bin/woodgap/stream.rs
@@ -1,4 +1,5 @@
-//! Reads and writes on a socket that is shared: the library has it, and the node looks at it as well.
+//! Polled reads and writes through a shared reference to a `TcpStream`, so that hyper can use a socket which
+//! the node also inspects.
 
 use std::io;
 use std::task::{ready, Context, Poll};
@@ -6,21 +7,21 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Reads what is there; how many bytes, none at the end.
+/// Reads into `buf` what has arrived and returns the number of bytes, 0 at the end of the stream.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
         match stream.try_read(buf.initialize_unfilled()) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => {
-                buf.advance(done.as_ref().copied().unwrap_or(0));
-                return Poll::Ready(done);
+            result => {
+                buf.advance(result.as_ref().copied().unwrap_or(0));
+                return Poll::Ready(result);
             }
         }
     }
 }
 
-/// Writes as much as there is room for.
+/// Calls `write` once the socket is writable and returns the number of bytes written.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -30,7 +31,7 @@
         ready!(stream.poll_write_ready(cx))?;
         match write(stream) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
