--- a/crates/cli/src/cold_starts.rs
+++ b/crates/cli/src/cold_starts.rs
@@ -1,9 +1,10 @@
 //! How close all nodes together came to overloading a server that was still cold.
 //!
-//! A cold server fails when it gets more than N + 2 sqrt(N) + 2 requests of mean work within the settings' window.
-//! N is the settings' multiple of what the server can serve at that time. The logs don't tell the capacity of a warm
-//! server. It is estimated as the most requests that the fleet served in a second, in proportion to the servers'
-//! sizes, so a fleet with spare capacity appears closer to the limit than it is.
+//! A cold server breaks down when it is sent more than N + 2 sqrt(N) + 2 requests of mean work within the
+//! settings' window. N is the settings' multiple of what the server can serve at that time. The logs don't
+//! tell the capacity of a warm server. It is estimated as the most requests that the fleet served in a
+//! second, in proportion to the servers' sizes, so a fleet with spare capacity appears closer to the limit
+//! than it is.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +19,7 @@
 struct Ramp {
     start_capacity: f64,
     duration_ms: f64,
-    overload_multiple: f64,
+    cold_overload_multiple: f64,
     overload_window_ms: u64,
 }
 
@@ -37,8 +38,8 @@
     pub ratio: f64,
 }
 
-/// A start of a server's process: the server's size, and the requests sent to it by the Unix milliseconds at which
-/// their bucket begins.
+/// A start of a server's process: the server's size, and the requests sent to it by the Unix milliseconds at
+/// which their bucket begins.
 struct ServerStart {
     size: f64,
     buckets: BTreeMap<u64, u64>,
@@ -57,15 +58,15 @@
 }
 
 impl ColdStarts {
-    /// Adds the fields of a log line; a line without the field `cold` is ignored. The field has a group for each
-    /// start of a server, separated by spaces: `ID@START_MS/SIZE,BUCKET_MS=COUNT,...`.
+    /// Adds the fields of a log line; a line without the field `cold` is ignored. The field has a group for
+    /// each start of a server, separated by spaces: `ID@START_MS/SIZE,BUCKET_MS=COUNT,...`.
     pub fn add_line(&mut self, fields: &Value) {
         let Some(text) = fields["cold"].as_str() else { return };
         let real = |name: &str| fields[name].as_f64().unwrap_or(0.0);
         self.ramp = Ramp {
             start_capacity: real("start"),
             duration_ms: real("span_ms"),
-            overload_multiple: real("multiple"),
+            cold_overload_multiple: real("multiple"),
             overload_window_ms: fields["window_ms"].as_u64().unwrap_or(0),
         };
         let total_size = real("able");
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Adds the attempts that a node counted as served between its previous line and the line with this timestamp.
+    /// Adds the attempts that a node counted as served between its previous line and the line with this
+    /// timestamp.
     pub fn add_served(&mut self, timestamp: Option<&str>, count: u64) {
         let second = timestamp.and_then(|text| text.split('.').next()).unwrap_or_default();
         *self.served.entry(second.to_owned()).or_insert(0) += count;
@@ -99,7 +101,7 @@
         let Some(total_size) = self.total_size.filter(|&size| size > 0.0 && most_served > 0.0) else {
             return Vec::new();
         };
-        let Ramp { start_capacity, duration_ms, overload_multiple, overload_window_ms } = self.ramp;
+        let Ramp { start_capacity, duration_ms, cold_overload_multiple, overload_window_ms } = self.ramp;
         let closest = |((id, since), ServerStart { size, buckets }): (&(String, u64), &ServerStart)| {
             let window = |&from: &u64| {
                 let sent: u64 = buckets.range(from..from + overload_window_ms).map(|(_, count)| count).sum();
@@ -107,7 +109,7 @@
                 // The capacity at the start of the window: it only grows after that.
                 let warm_part = (from_ms as f64 / duration_ms.max(1.0)).min(1.0);
                 let capacity_part = start_capacity + (1.0 - start_capacity) * warm_part;
-                let n = overload_multiple * most_served / total_size
+                let n = cold_overload_multiple * most_served / total_size
                     * size
                     * capacity_part
                     * overload_window_ms as f64
--- a/crates/cli/src/cold_starts/tests.rs
+++ b/crates/cli/src/cold_starts/tests.rs
@@ -16,8 +16,8 @@
         starts.add_served(Some("2026-12-02T03:00:02.5Z"), second / 5);
     }
     let windows = starts.closest_windows();
-    // 75 served in a second by a total size of 10 make 7.5 for a size of 1, and half of it, 3.75, right after the
-    // start; the multiple of 2 in a window of one second makes N = 7.5.
+    // 75 served in a second by a total size of 10 make 7.5 for a size of 1, and half of it, 3.75, right after
+    // the start; the multiple of 2 in a window of one second makes N = 7.5.
     let limit = |n: f64| n + 2.0 * n.sqrt() + 2.0;
     let n_after_500_ms = 2.0 * 7.5 * (0.5 + 0.5 * 0.05);
     assert_eq!((windows[0].server.as_str(), windows[0].from_ms, windows[0].sent), ("s@1", 500, 32));
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -36,8 +36,8 @@
     Err(UsageError(lines.join("\n")).into())
 }
 
-/// Prints the line that reports the process as ready, with its addresses. Programs that start the process wait for
-/// this line.
+/// Prints the line that reports the process as ready, with its addresses. Programs that start the process
+/// wait for this line.
 fn print_ready(out: &mut impl Write, command: &str, addresses: &str) {
     let _ = writeln!(out, "{command} ready {addresses}").and_then(|()| out.flush());
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,5 +1,5 @@
-//! `fircroft fleet`: adds up the counts in the logs of nodes and prints how requests, attempts and connections
-//! ended.
+//! `fircroft fleet`: adds up the counts in the logs of nodes and prints how requests, attempts and
+//! connections ended.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -31,7 +31,8 @@
     /// Requests of the node with the most requests, as a multiple of the mean.
     #[serde(rename = "busiest")]
     busiest_node_ratio: f64,
-    /// The windows in which cold servers came closest to an overload, if the nodes logged what they sent to them.
+    /// The windows in which cold servers came closest to an overload, if the nodes logged what they sent to
+    /// them.
     #[serde(rename = "cold", skip_serializing_if = "Vec::is_empty")]
     cold_windows: Vec<Window>,
 }
@@ -88,8 +89,8 @@
     Ok(files)
 }
 
-/// Reads the last counts of each process that wrote to the log, in order. Lines without counts are skipped: a killed
-/// process leaves an incomplete line, and other programs may write to the same file.
+/// Reads the last counts of each process that wrote to the log, in order. Lines without counts are skipped: a
+/// killed process leaves an incomplete line, and other programs may write to the same file.
 fn read_processes(mut log: impl BufRead, cold_starts: &mut ColdStarts) -> std::io::Result<Vec<Counts>> {
     let mut processes: Vec<Counts> = Vec::new();
     let (mut line, mut is_new_process) = (Vec::new(), true);
@@ -142,8 +143,8 @@
         ];
         const ATTEMPT_OUTCOMES: [&str; 8] =
             ["ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot"];
-        // A refused or timed-out dial counts as `dialled` as well, so the sum has only three of the names.
-        const CONNECTION_SOURCES: [&str; 5] =
+        // A refused or timed-out dial counts as `dialled` as well, so the total is the sum of only three.
+        const CONNECTION_OUTCOMES: [&str; 5] =
             ["reused", "dialled", "dial_refused", "dial_silent", "no_socket"];
         const IDLE_CLOSES: [&str; 4] = ["idle_expired", "idle_freed", "idle_evicted", "idle_broken"];
         let requests = self.count("requests");
@@ -151,7 +152,7 @@
         let connections = self.sum(&["reused", "dialled", "no_socket"]);
         self.print_breakdown(out, "requests", requests, &REQUEST_ENDS)?;
         self.print_breakdown(out, "attempts", attempts, &ATTEMPT_OUTCOMES)?;
-        self.print_breakdown(out, "connections requested", connections, &CONNECTION_SOURCES)?;
+        self.print_breakdown(out, "connections requested", connections, &CONNECTION_OUTCOMES)?;
         self.print_breakdown(out, "idle connections closed", self.sum(&IDLE_CLOSES), &IDLE_CLOSES)?;
         writeln!(out, "probes {}", self.count("probes"))?;
         let per_request = |count: u64| count as f64 / requests.max(1) as f64;
--- a/crates/cli/src/fleet/tests.rs
+++ b/crates/cli/src/fleet/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-// A `ready` line begins a new process, whose counts start at zero; incomplete lines, lines of other programs and
-// counts that are no numbers are skipped, and a timestamp before the JSON is ignored.
+// A `ready` line begins a new process, whose counts start at zero; incomplete lines, lines of other programs
+// and counts that are no numbers are skipped, and a timestamp before the JSON is ignored.
 #[test]
 fn each_process_of_a_log_has_its_own_counts() {
     let line = |fields: &str| format!("{{\"fields\":{{{fields}}}}}\n");
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `fircroft`: parses the command line and the configuration, starts the log and runs one command.
+//! The program `fircroft`: parses the command line and the configuration, starts the log and runs one
+//! command.
 //!
 //! Exit codes: 0 success, 1 failure, 2 incorrect usage or invalid input.
 
@@ -86,7 +87,8 @@
     }
 }
 
-/// Whether the reader of the output closed the pipe. That is no failure: a reader such as `head` has what it needs.
+/// Whether the reader of the output closed the pipe. That is no failure: a reader such as `head` has what it
+/// needs.
 fn is_broken_pipe(error: &anyhow::Error) -> bool {
     error.downcast_ref::<io::Error>().is_some_and(|error| error.kind() == io::ErrorKind::BrokenPipe)
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,5 +1,5 @@
-//! The configuration of the program, from lowest to highest precedence: defaults, `RUST_LOG` for the log filter,
-//! a TOML file, variables `FIRCROFT_*`, flags.
+//! The configuration of the program, from lowest to highest precedence: defaults, `RUST_LOG` for the log
+//! filter, a TOML file, variables `FIRCROFT_*`, flags.
 
 use std::path::PathBuf;
 
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,4 +1,4 @@
-//! `fircroft table`: builds the decision module's Maglev table for a list of servers and shows how many slots each
+//! `fircroft table`: builds the policy's Maglev table for a list of servers and shows how many slots each
 //! server owns and how many a change of servers moves.
 
 use std::collections::{BTreeMap, HashMap};
@@ -85,7 +85,8 @@
     Ok(ExitStatus::Success)
 }
 
-/// Reads the servers in service from a list, or from the list in a node's configuration; `-` is standard input.
+/// Reads the servers in service from a list, or from the list in a node's configuration; `-` is standard
+/// input.
 fn read_servers(path: &Path) -> anyhow::Result<ServerSizes> {
     let (name, mut text) = (path.display().to_string(), String::new());
     let input: Box<dyn Read> = match path.to_str() {
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/woodgap-simhost/main.rs
@@ -1,9 +1,9 @@
-//! Adapter between the simulator and the decision module: runs one [`woodgap::Balancer`] for each simulated node
+//! Adapter between the simulator and the policy: runs one [`woodgap::Balancer`] for each simulated node
 //! and translates between its events and actions and the simulator's lines. It makes no decisions.
 //!
-//! Standard input has batches of lines from `BEGIN_BATCH` to `EOF_BATCH`. The actions of a batch and its `END`
-//! line are written to standard output when the batch ends. On invalid input the program stops with one line on
-//! standard error and exit code 1.
+//! Standard input consists of batches of lines from `BEGIN_BATCH` to `EOF_BATCH`. The output of a batch is
+//! the lines of its actions and an `END` line, after which standard output is flushed. On invalid input the
+//! program stops with one message on standard error and exit code 1.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -19,10 +19,10 @@
 
 /// Size of the buffers for standard input and output.
 const IO_BUFFER_BYTES: usize = 1 << 18;
-/// Memory is reserved up front for this many entries of a list at most, whatever count the input names.
+/// Entries for which memory is reserved before a list is read: the count in the input may be wrong.
 const MAX_RESERVED_MEMBERS: usize = 4096;
 
-/// A running node: its decision module, and the names that its requests use.
+/// A running node.
 struct Node {
     balancer: Balancer,
     request_names: RequestNames,
@@ -42,6 +42,7 @@
     context_node: Option<u64>,
     /// The node that the last `ON_BEHALF` line of the output names.
     output_node: Option<u64>,
+    /// Buffer for the actions of one event, empty between events.
     actions: Vec<Action>,
 }
 
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -95,7 +95,7 @@
     }
     let server = ServerId(fields.number("server")?);
     let zone = zone_ids.get_or_assign(fields.next("campus")?.unwrap_or(""));
-    // The decision module does not use the server's kind.
+    // The policy does not use the server's kind.
     fields.next("kind")?;
     let cell = CellId(fields.optional("cluster")?.unwrap_or(0));
     let state = fields.text("state")?;
@@ -150,7 +150,7 @@
         },
         "STARTED" => {
             let (id, attempt) = (fields.request_id()?, fields.number("n")?);
-            // The fields are checked, but the decision module does not use them.
+            // The fields are checked, but the policy does not use them.
             let _: u32 = fields.number("server")?;
             let _: Option<u64> = fields.optional("spent")?;
             Event::ResponseStarted { id, attempt }
@@ -162,7 +162,7 @@
 
 fn parse_request(fields: &mut Fields<'_>, request_names: &RequestNames) -> Result<Request, InputError> {
     let id = fields.request_id()?;
-    // The flag is checked, but the decision module does not use it.
+    // The flag is checked, but the policy does not use it.
     fields.flag("write")?;
     let time_left = fields.number::<i64>("patience-left")?.max(0) as u64;
     let class = fields.text("category")?;
@@ -189,7 +189,7 @@
     fields: &mut Fields<'_>,
     server_lists: &HashMap<u64, Rc<Vec<Member>>>,
 ) -> Result<Event, InputError> {
-    // The revision is checked, but the decision module does not use it.
+    // The revision is checked, but the policy does not use it.
     let _: Option<u64> = fields.optional("rev")?;
     let kind = match fields.text("how")? {
         "D" => SyncKind::Delta,
--- a/src/bin/woodgap/cold.rs
+++ b/src/bin/woodgap/cold.rs
@@ -70,14 +70,14 @@
             }
             cold.push(' ');
         }
-        let Ramp { start_capacity, duration_ms, overload_multiple, overload_window_ms } = self.ramp;
+        let Ramp { start_capacity, duration_ms, cold_overload_multiple, overload_window_ms } = self.ramp;
         tracing::debug!(
             target: "woodgap::cold",
             cold = cold.trim_end(),
             able,
             start = start_capacity,
             span_ms = duration_ms,
-            multiple = overload_multiple,
+            multiple = cold_overload_multiple,
             window_ms = overload_window_ms,
             "cold"
         );
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -166,7 +166,7 @@
 
     /// The time in which sends to a draining server have to cease.
     pub fn drain_grace(&self) -> Duration {
-        self.figures.drain_grace
+        self.figures.drain_time
     }
 
     /// What discovery calls a server.
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -8,7 +8,7 @@
     let figures = NodeSettings {
         dial_timeout: Duration::from_secs(20),
         keepalive: Duration::from_secs(600),
-        drain_grace: Duration::from_millis(500),
+        drain_time: Duration::from_millis(500),
         max_open_requests: 10,
         load_report_fields: vec!["queue".into(), "util".into()],
         ramp: Default::default(),
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration file of a node, as the platform writes it in JSON. It is parsed at the start, and all
-//! problems are reported together.
+//! The configuration file of a node, which the platform writes in JSON. A node parses the file at its start;
+//! on SIGHUP it reads only the address of discovery again. All problems are reported together.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::list::ServerList;
 use crate::settings::{self, RequestNames, SettingPairs, SettingsReader};
 
-/// File descriptors reserved for everything but connections of clients and to servers: the standard streams, the
-/// runtime, the listener, discovery, the peer socket, and descriptors that the system has not closed yet.
+/// File descriptors reserved for everything but connections of clients and to servers: the standard streams,
+/// the runtime, the listener, discovery, the peer socket, and descriptors that the system has not closed yet.
 pub const RESERVED_DESCRIPTORS: usize = 24;
-/// Client connections beyond the budget that may be open at a time, only to tell the client that there is no room.
+/// Client connections beyond the budget that may be open at a time, each only to reject its request.
 pub const REJECTION_CONNECTIONS: usize = 16;
 /// Fewest descriptors that leave room for one connection of a client and one to a server.
 const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS + 2;
@@ -37,7 +37,7 @@
     pub listen: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the decision module's random choices.
+    /// Seed of the policy's random choices.
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub max_descriptors: usize,
@@ -52,51 +52,53 @@
     /// Whether the node reports the list revision on which it acts, to its servers and to the agent at
     /// `discovery`.
     pub is_audited: bool,
-    /// The list that the node last had before this start.
+    /// The server list that the node last had before this start.
     pub cached_list: ServerList,
-    /// Settings of the decision module.
+    /// Settings of the policy.
     pub settings: Settings,
     /// The names by which requests refer to classes and tenants.
     pub request_names: RequestNames,
-    /// Settings of the node around the decision module.
+    /// Settings that only the node uses.
     pub node_settings: NodeSettings,
 }
 
-/// The settings that concern the node's connections and memory and not its decisions.
+/// The settings that only the node uses: for its connections, open requests, load reports and cold servers in
+/// the log.
 #[derive(Clone)]
 pub struct NodeSettings {
     /// An attempt to connect to a server fails after this time.
     pub dial_timeout: Duration,
     /// Servers close connections that were idle for this long.
     pub keepalive: Duration,
-    /// Sending to a draining server must have ended after this time.
-    pub drain_grace: Duration,
-    /// Requests that the node holds at a time, at most.
+    /// Time within which requests to a draining server have to stop.
+    pub drain_time: Duration,
+    /// Largest number of requests that may be open at a time.
     pub max_open_requests: usize,
-    /// Names of the fields of a server's load report, in the order that the decision module expects.
+    /// Names of the fields of a server's load report. The node passes their values to the policy in this
+    /// order.
     pub load_report_fields: Vec<String>,
-    /// How the capacity of a cold server grows.
+    /// Ramp of a cold server, which the node repeats in log lines about requests to cold servers.
     pub ramp: Ramp,
 }
 
 /// How the capacity of a cold server grows after its start, and what overloads it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
-    /// Capacity of a server right after its start, as a part of its full capacity.
+    /// Capacity of a server that has just started, as a fraction of its full capacity.
     pub start_capacity: f64,
-    /// Time after the start until the server has its full capacity.
+    /// How long a started server takes to reach its full capacity; until then it is cold.
     pub duration_ms: u64,
-    /// A cold server fails when it gets more than this multiple of its present capacity within
+    /// A cold server breaks down when it is sent more than this multiple of its present capacity within
     /// `overload_window_ms`.
-    pub overload_multiple: f64,
+    pub cold_overload_multiple: f64,
     /// Length of the window over which an overload is counted.
     pub overload_window_ms: u64,
 }
 
 impl Config {
     /// Parses the text of a configuration file; variables of `env` override the file. The configuration is
-    /// `None` if a node would not start with it. The findings are all errors and warnings, and the defaults that
-    /// are used.
+    /// `None` if a node would not start with it. The findings are all errors and warnings, and the defaults
+    /// that are used.
     pub fn parse(text: &str, env: &HashMap<String, String>) -> (Option<Config>, Findings) {
         let mut findings = Findings::default();
         let Some(value) = parse_object(text, &mut findings) else { return (None, findings) };
@@ -146,17 +148,17 @@
         let mut read_micros = |path, default| Duration::from_micros(reader.read_whole(path, default));
         let dial_timeout = read_micros("bounds.dial-timeout", 250_000);
         let keepalive = read_micros("bounds.keepalive", 15_000_000);
-        let drain_grace = read_micros("rules.stop-sending-within", 500_000);
+        let drain_time = read_micros("rules.stop-sending-within", 500_000);
         let ramp = Ramp {
             start_capacity: settings.start_capacity,
             duration_ms: settings.ramp_time / 1_000,
-            overload_multiple: settings.cold_overload_multiple,
+            cold_overload_multiple: settings.cold_overload_multiple,
             overload_window_ms: read_micros("rules.overload-for", 2_000_000).as_millis() as u64,
         };
         NodeSettings {
             dial_timeout,
             keepalive,
-            drain_grace,
+            drain_time,
             max_open_requests: reader.read_whole("bounds.open-cap", 20_000).clamp(1, 1 << 20) as usize,
             load_report_fields: reader
                 .text("report.fields")
@@ -169,8 +171,8 @@
     }
 }
 
-/// Reads only the address of discovery, for a reload on SIGHUP. The file alone counts here: the environment still
-/// holds the address of the start.
+/// Reads only the address of discovery, for a reload on SIGHUP. The file alone counts here: the environment
+/// still holds the address of the start.
 pub fn parse_discovery_address(text: &str) -> Result<SocketAddr, Findings> {
     let mut findings = Findings::default();
     let Some(value) = parse_object(text, &mut findings) else { return Err(findings) };
@@ -357,9 +359,9 @@
     request_names.check(findings);
 }
 
-/// Flattens a JSON value into the dotted paths of the simulator's `SPAWN` line: the items of a list of objects
-/// get their index as a path segment, next to a `count`; a list of scalars becomes one value joined by commas.
-/// `path` is the dotted path of the value and `json_path` its path in the file.
+/// Flattens a JSON value into the dotted paths of the simulator's `SPAWN` line: the items of a list of
+/// objects get their index as a path segment, next to a `count`; a list of scalars becomes one value joined
+/// by commas. `path` is the dotted path of the value and `json_path` its path in the file.
 fn flatten_settings(path: &str, json_path: &str, value: &Value, pairs: &mut SettingPairs) {
     let child_path = |name: &str| {
         let name = name.replace('_', "-");
--- a/src/findings.rs
+++ b/src/findings.rs
@@ -1,5 +1,5 @@
-//! Problems found while parsing an input. A parser collects all of them, each with its path, what was expected
-//! and what was found, so that one run reports everything that has to be corrected.
+//! Problems found while parsing an input. A parser collects all of them, each with its path, what was
+//! expected and what was found, so that one run reports everything that has to be corrected.
 
 use std::fmt;
 
@@ -13,7 +13,8 @@
 pub enum Severity {
     /// The node does not start.
     Error,
-    /// The node starts. It ignores a value that it can't read, or uses the default; it keeps an implausible value.
+    /// The node starts. It ignores a value that it can't read, or uses the default; it keeps an implausible
+    /// value.
     Warning,
 }
 
--- a/src/list.rs
+++ b/src/list.rs
@@ -40,9 +40,9 @@
 }
 
 impl ServerList {
-    /// Parses a list; `None` if `value` is not a list at all. An invalid entry is skipped with a warning and the
-    /// rest of the list is used: one bad entry must not hide all other servers from a node. `path` is the path
-    /// of `value` in its file.
+    /// Parses a list; `None` if `value` is not a list at all. An invalid entry is skipped with a warning and
+    /// the rest of the list is used: one bad entry must not hide all other servers from a node. `path` is the
+    /// path of `value` in its file.
     pub fn parse(value: &Value, path: &str, findings: &mut Findings) -> Option<ServerList> {
         let Some(members) = value.get("members").and_then(Value::as_array) else {
             findings.add_warning(path, "an object with a list 'members'", describe_value(Some(value)));
@@ -93,8 +93,8 @@
     }
 }
 
-/// Parses an entry; `None` if a required field is missing or invalid. An optional field that is invalid only adds
-/// a warning, and gets its default if its type is wrong.
+/// Parses an entry; `None` if a required field is missing or invalid. An optional field that is invalid only
+/// adds a warning, and gets its default if its type is wrong.
 fn parse_entry(value: &Value, path: &str, findings: &mut Findings) -> Option<ListEntry> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     if !value.is_object() {
@@ -129,9 +129,9 @@
     })
 }
 
-/// The number that stands for a server id in [`crate::ServerId`]. The number is a hash of the id alone, because
-/// nodes that number servers differently build different Maglev tables. Only if `taken` has the number for
-/// another id is the hash repeated with the next seed.
+/// The number that stands for a server id in [`crate::ServerId`]. The number is a hash of the id alone,
+/// because nodes that number servers differently build different Maglev tables. Only if `taken` has the
+/// number for another id is the hash repeated with the next seed.
 pub fn assign_server_number(id: &str, taken: &HashMap<u32, String>) -> u32 {
     let mut seed = 0;
     loop {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Parsing of the decision module's settings and of names that requests and lists use, shared by the node and
-//! the simulator adapter.
+//! Parsing of the policy's settings, and of numbers, zones, server states and class and tenant names. The
+//! node and the simulator adapter share it.
 //!
 //! Settings are pairs of a dotted path and a value, with times in microseconds: the form of the simulator's
 //! `SPAWN` line. The node flattens the `settings` object of its configuration file into the same pairs.
@@ -162,8 +162,8 @@
     }
 }
 
-/// Settings that the simulator's protocol lets a site omit, and settings that later sites may add. Their absence
-/// means the default and is not reported.
+/// Settings that the simulator's protocol lets a site omit, and settings that later sites may add. Their
+/// absence means the default and is not reported.
 const OPTIONAL_SETTINGS: [&str; 5] = [
     "classes.count",
     "tenants.count",
@@ -172,8 +172,8 @@
     "rules.may-shed-begun",
 ];
 
-/// Reads typed values from pairs. An absent or invalid value is replaced by the caller's default; both cases are
-/// recorded in the findings.
+/// Reads typed values from pairs. An absent or invalid value is replaced by the caller's default; both cases
+/// are recorded in the findings.
 pub struct SettingsReader<'a> {
     pairs: &'a SettingPairs,
     /// The findings so far.
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Checks that the decision module keeps the size that the operators set, because they port it by hand, and that
-//! the deploy file names exactly its files.
+//! Checks that the policy stays within the size limits that the operators set, because they port it by hand,
+//! and that the deploy file names exactly its files.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -62,7 +62,8 @@
     assert!(String::from_utf8(output.stderr).unwrap().contains("inside a batch"));
 }
 
-// A later `POOL` line with the same number replaces the list, and `DOWN` and `SPAWN` in one batch restart a node.
+// A later `POOL` line with the same number replaces the list, and `DOWN` and `SPAWN` in one batch restart a
+// node.
 #[test]
 fn list_numbers_can_be_reused_and_a_node_can_restart_within_a_batch() {
     let batch = "BEGIN_BATCH 1005000 2\nCONTEXT 3\nDOWN\nSPAWN 6 classes.count=1 classes.0.name=a \
