--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -67,7 +67,7 @@
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = Vec::new();
         for (n, member) in self.members.iter().enumerate() {
-            faults.extend(member.fault().map(|fault| format!("members[{n}].{fault}")));
+            faults.extend(member.validate().map(|fault| format!("members[{n}].{fault}")));
         }
         let mut expect = |good: bool, what: &str| faults.extend((!good).then(|| what.to_owned()));
         expect(!self.registry.is_empty(), "registry: expected one address or more, found none");
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -304,8 +304,8 @@
             for (member, expect) in puts.chain(gone.into_iter().map(|member| (member, Expect::Absent))) {
                 let put = Command::Put { member: member.clone(), lease_ms, expect };
                 match client.propose("", put, within).await {
-                    Ok(registry::Outcome::Refused { why }) => {
-                        tracing::warn!(member = member.id, why, "not registered")
+                    Ok(registry::Outcome::Refused { reason }) => {
+                        tracing::warn!(member = member.id, why = reason, "not registered")
                     }
                     Ok(_) => known.push(member),
                     Err(error) => tracing::debug!(member = member.id, %error, "not registered yet"),
--- a/crates/agent/src/words.rs
+++ b/crates/agent/src/words.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use audit::{Event, Report, Sight, Stamp};
+use audit::{Event, Observation, Report, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// What a node says.
@@ -73,31 +73,31 @@
 pub struct Words {
     reports: BTreeMap<String, Report>,
     told: BTreeMap<String, (u64, u64)>,
-    sights: BTreeMap<(String, String, u64, u64), Sight>,
+    sights: BTreeMap<(String, String, u64, u64), Observation>,
     /// Sights that there was no room for.
     dropped: u64,
 }
 
 impl Words {
     pub fn acted(&mut self, acted: &Acted, unix_ms: u64) {
-        let at = Stamp { after: acted.heard, unix_ms };
+        let at = Timestamp { not_before: acted.heard, unix_ms };
         let old = self.reports.get(&acted.node).filter(|old| old.incarnation == acted.incarnation);
         let mut decided: BTreeMap<u64, u64> =
-            old.iter().flat_map(|old| old.decided.iter().copied()).collect();
+            old.iter().flat_map(|old| old.decisions.iter().copied()).collect();
         for &(revision, count) in &acted.decided {
             *decided.entry(revision).or_default() += count;
         }
         while decided.len() > REVISIONS {
             decided.pop_first();
         }
-        let refuses = acted.refuses.or(old.and_then(|old| old.refuses));
+        let refuses = acted.refuses.or(old.and_then(|old| old.rejected_revision));
         let report = Report {
             node: acted.node.clone(),
             incarnation: acted.incarnation,
-            standing: acted.standing,
-            oldest: acted.oldest,
-            decided: decided.into_iter().collect(),
-            refuses,
+            current_revision: acted.standing,
+            oldest_in_flight: acted.oldest,
+            decisions: decided.into_iter().collect(),
+            rejected_revision: refuses,
             at,
         };
         self.reports.insert(acted.node.clone(), report);
@@ -108,28 +108,28 @@
     }
 
     pub fn seen(&mut self, seen: &Seen, unix_ms: u64, most: usize) {
-        let at = Stamp { after: seen.heard, unix_ms };
+        let at = Timestamp { not_before: seen.heard, unix_ms };
         for attempts in &seen.attempts {
             let key = (seen.server.clone(), attempts.node.clone(), attempts.incarnation, attempts.revision);
             if !self.sights.contains_key(&key) && self.sights.len() >= most {
                 self.dropped += 1;
                 continue;
             }
-            let sight = self.sights.entry(key).or_insert_with(|| Sight {
+            let sight = self.sights.entry(key).or_insert_with(|| Observation {
                 node: attempts.node.clone(),
                 incarnation: attempts.incarnation,
                 revision: attempts.revision,
                 count: 0,
                 refused: 0,
-                drained: Vec::new(),
+                requests_after_drain: Vec::new(),
                 first: at,
                 last: at,
             });
             sight.count += attempts.count;
             sight.refused += attempts.refused;
             sight.last = at;
-            let room = REQUESTS.saturating_sub(sight.drained.len());
-            sight.drained.extend(attempts.drained.iter().take(room).cloned());
+            let room = REQUESTS.saturating_sub(sight.requests_after_drain.len());
+            sight.requests_after_drain.extend(attempts.drained.iter().take(room).cloned());
         }
     }
 
@@ -144,14 +144,21 @@
             self.dropped = 0;
         }
         let told = std::mem::take(&mut self.told).into_iter();
-        let mut events: Vec<Event> =
-            told.map(|(node, (told, held))| Event::Told { node, told, held }).collect();
+        let mut events: Vec<Event> = told
+            .map(|(node, (told, held))| Event::ListForwarded {
+                node,
+                forwarded_revision: told,
+                agent_revision: held,
+            })
+            .collect();
         events.extend(std::mem::take(&mut self.reports).into_values().map(Event::Reported));
-        let mut servers: BTreeMap<String, Vec<Sight>> = BTreeMap::new();
+        let mut servers: BTreeMap<String, Vec<Observation>> = BTreeMap::new();
         for ((server, ..), sight) in std::mem::take(&mut self.sights) {
             servers.entry(server).or_default().push(sight);
         }
-        events.extend(servers.into_iter().map(|(server, sights)| Event::Seen { server, sights }));
+        events.extend(
+            servers.into_iter().map(|(server, sights)| Event::Observed { server, observations: sights }),
+        );
         events
     }
 }
@@ -192,11 +199,14 @@
         let events = words.take();
         assert!(words.is_empty());
         let Event::Reported(report) = &events[0] else { panic!("{events:?}") };
-        assert_eq!((report.standing, report.refuses, report.at.after), (42, Some(39), 20));
-        assert_eq!(report.decided, [(40, 2), (41, 5)]);
-        let Event::Seen { sights, .. } = &events[1] else { panic!("{events:?}") };
+        assert_eq!(
+            (report.current_revision, report.rejected_revision, report.at.not_before),
+            (42, Some(39), 20)
+        );
+        assert_eq!(report.decisions, [(40, 2), (41, 5)]);
+        let Event::Observed { observations: sights, .. } = &events[1] else { panic!("{events:?}") };
         assert_eq!(sights.len(), 3);
-        assert_eq!((sights[0].count, sights[0].refused, sights[0].drained.len()), (4, 2, 16));
-        assert_eq!((sights[0].first.after, sights[0].last.after), (10, 20));
+        assert_eq!((sights[0].count, sights[0].refused, sights[0].requests_after_drain.len()), (4, 2, 16));
+        assert_eq!((sights[0].first.not_before, sights[0].last.not_before), (10, 20));
     }
 }
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -1,141 +1,164 @@
-//! What the audit is told, all of it through the registry's log.
+//! The audit's input: events, all of which arrive through the registry's log.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Ms, Revision};
 
-/// A lower bound of the log time at which something was so: the newest log time that its witness had heard of
-/// before. Sound without any clock: what is seen now comes after all that one has heard of.
+/// When something was observed: a lower bound in log time. The bound is the newest log time that the observer had
+/// received before the observation, so it holds without any synchronized clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp {
-    /// The log time.
-    pub after: Ms,
-    /// The witness's wall clock, for people alone.
+pub struct Timestamp {
+    /// The lower bound, in log time.
+    #[serde(rename = "after")]
+    pub not_before: Ms,
+    /// The observer's wall clock in Unix milliseconds; shown to operators and used for nothing else.
     pub unix_ms: u64,
 }
 
-/// What a node says of itself, by its agent.
+/// A node's report about itself, which its agent passes on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The node.
+    /// The node's name.
     pub node: String,
-    /// Its process: each start has a greater one.
+    /// The incarnation of the node's process: each start has a greater one.
     pub incarnation: u64,
-    /// The revision that its next decision rests on.
-    pub standing: Revision,
-    /// The oldest that a request in flight still rests on; `standing` where none does.
-    pub oldest: Revision,
-    /// Decisions since the last report, by revision.
-    pub decided: Vec<(Revision, u64)>,
-    /// A list that it took and could not act on.
-    pub refuses: Option<Revision>,
-    /// When it said so.
-    pub at: Stamp,
+    /// The revision that the node's next decision will be based on.
+    #[serde(rename = "standing")]
+    pub current_revision: Revision,
+    /// The oldest revision that a request in flight is based on; `current_revision` where there is none.
+    #[serde(rename = "oldest")]
+    pub oldest_in_flight: Revision,
+    /// The number of decisions since the last report, by revision.
+    #[serde(rename = "decided")]
+    pub decisions: Vec<(Revision, u64)>,
+    /// A revision of the list that the node received and could not act on.
+    #[serde(rename = "refuses")]
+    pub rejected_revision: Option<Revision>,
+    /// When the node sent the report.
+    pub at: Timestamp,
 }
 
-/// Attempts of a node that an app server's agent saw.
+/// Attempts by a node that an app server's agent observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct Observation {
     /// The node that the attempts name.
     pub node: String,
-    /// Its process.
+    /// The incarnation of the node's process.
     pub incarnation: u64,
-    /// The revision that they were decided on.
+    /// The revision that the attempts were decided on.
     pub revision: Revision,
-    /// How many.
+    /// How many attempts were observed.
     pub count: u64,
-    /// Those that were turned away for being below the floor, and never ran.
+    /// How many of them the server refused unexecuted because their revision is below the floor.
     pub refused: u64,
-    /// A few of their requests, where the server was draining by then.
-    pub drained: Vec<String>,
-    /// The first and the last of them.
-    pub first: Stamp,
-    /// The last of them.
-    pub last: Stamp,
+    /// The ids of a few of the requests, where the server was already draining.
+    #[serde(rename = "drained")]
+    pub requests_after_drain: Vec<String>,
+    /// When the first attempt was observed.
+    pub first: Timestamp,
+    /// When the last attempt was observed.
+    pub last: Timestamp,
 }
 
-/// What an operator says.
+/// An operator's command to the audit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
-    /// Sets the floor, also to a lower one.
-    Floor(Revision),
-    /// Lifts the halt of a revision.
-    Resume,
-    /// Takes a node back in at once, in full.
-    Admit(String),
+pub enum OperatorCommand {
+    /// Sets the floor, also to a lower revision.
+    #[serde(rename = "floor")]
+    SetFloor(Revision),
+    /// Lets the floor rise again past the revision at which it was halted.
+    #[serde(rename = "resume")]
+    ResumeFloor,
+    /// Readmits a node at once and in full.
+    #[serde(rename = "admit")]
+    AdmitNode(String),
 }
 
-/// An event.
+/// An event that the audit applies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// The list has a new version.
+    /// A new revision of the server list was committed.
     Committed {
-        /// The version.
+        /// The new revision.
         revision: Revision,
-        /// The leader's wall clock, for people.
+        /// The leader's wall clock in Unix milliseconds, for operators; 0 where the list was changed by a command
+        /// that carries no wall-clock time.
         unix_ms: u64,
     },
-    /// A node's process has started, or was seen for the first time.
+    /// A node's process registered: it has started, or is known for the first time.
     Joined {
-        /// The node.
+        /// The node's name.
         node: String,
-        /// Its pool.
+        /// The node's pool.
         pool: String,
-        /// Its zone.
+        /// The node's zone.
         zone: String,
-        /// Its process.
+        /// The incarnation of the node's process.
         incarnation: u64,
-        /// The version of its program.
+        /// The version of the node's program.
         program: String,
-        /// The version of its configuration.
+        /// The version of the node's configuration.
         config: String,
     },
-    /// A node was taken away on purpose.
-    Left {
-        /// The node.
+    /// A node was removed from the registry on purpose.
+    #[serde(rename = "left")]
+    Removed {
+        /// The node's name.
         node: String,
     },
-    /// A node's lease has run out: its agent is out of reach. It may serve on.
-    Lost {
-        /// The node.
+    /// A node's lease expired: its agent can't be reached, but the node may still serve requests.
+    #[serde(rename = "lost")]
+    LeaseExpired {
+        /// The node's name.
         node: String,
     },
-    /// A node is being drained for another reason, or no longer.
-    Drains {
-        /// The node.
+    /// A node began or ended a drain that the audit did not ask for.
+    #[serde(rename = "drains")]
+    DrainChanged {
+        /// The node's name.
         node: String,
-        /// Whether it drains.
-        drains: bool,
+        /// Whether the node is draining now.
+        #[serde(rename = "drains")]
+        is_draining: bool,
     },
-    /// A node's report.
+    /// A node's report about itself.
     Reported(Report),
-    /// What an app server's agent saw.
-    Seen {
+    /// Observations by an app server's agent.
+    #[serde(rename = "seen")]
+    Observed {
         /// The server.
         server: String,
-        /// Its sights.
-        sights: Vec<Sight>,
+        /// The attempts that its agent observed.
+        #[serde(rename = "sights")]
+        observations: Vec<Observation>,
     },
-    /// What a node's agent has told it, and holds.
-    Told {
-        /// The node.
+    /// How far a node's agent has forwarded the list to its node.
+    #[serde(rename = "told")]
+    ListForwarded {
+        /// The node's name.
         node: String,
-        /// The newest revision that was written to the node.
-        told: Revision,
-        /// The newest that the agent has.
-        held: Revision,
+        /// The newest revision that the agent wrote to the node's watch.
+        #[serde(rename = "told")]
+        forwarded_revision: Revision,
+        /// The newest revision that the agent has.
+        #[serde(rename = "held")]
+        agent_revision: Revision,
     },
-    /// Time has passed.
+    /// Time has passed: the periodic checks are due.
     Tick,
-    /// An operator's word.
-    Word {
-        /// Who.
-        who: String,
-        /// Why.
-        why: String,
-        /// What.
-        word: Word,
+    /// An operator's command.
+    #[serde(rename = "word")]
+    Operator {
+        /// Who gave the command.
+        #[serde(rename = "who")]
+        operator: String,
+        /// Why it was given.
+        #[serde(rename = "why")]
+        reason: String,
+        /// The command.
+        #[serde(rename = "word")]
+        command: OperatorCommand,
     },
 }
--- a/crates/audit/src/floor.rs
+++ b/crates/audit/src/floor.rs
@@ -1,51 +1,59 @@
-//! The floor, and what halts it.
+//! The floor (the lowest revision that may still run) and the halt that keeps it below a suspected revision.
 
-use crate::{Admission, Audit, Happening, Revision};
+use crate::{Admission, Audit, AuditRecord, Revision};
 
 impl Audit {
-    /// The highest floor that refuses nothing of a sound node. `but` is the node that is being shut out.
-    pub(crate) fn floor_within_reach(&self, but: Option<&str>) -> Revision {
-        let due = self.needed(self.now);
-        let sound = self.nodes.iter().filter(|(name, node)| {
-            Some(name.as_str()) != but && node.admission != Admission::Out && !node.behind()
+    /// Returns the highest floor that refuses no request of a node that is up to date. The node `except`, which is
+    /// about to be shut out, is not taken into account.
+    pub(crate) fn highest_safe_floor(&self, except: Option<&str>) -> Revision {
+        let required = self.required_revision(self.now);
+        let up_to_date = self.nodes.iter().filter(|(name, node)| {
+            Some(name.as_str()) != except && node.admission != Admission::ShutOut && !node.is_behind()
         });
-        let rests_on = sound.filter_map(|(_, node)| match (node.reported, &node.good) {
-            (Some(_), _) => Some(node.oldest),
-            // No word of its own: what was last seen of it, if anything.
-            (None, Some(good)) => Some(good.revision),
-            (None, None) => None,
-        });
-        rests_on.fold(due, Revision::min)
+        let in_use =
+            up_to_date.filter_map(|(_, node)| match (node.last_report_at, &node.up_to_date_evidence) {
+                (Some(_), _) => Some(node.oldest_in_flight),
+                // Without a report of the node's own, the last observation of its attempts is used, if there is any.
+                (None, Some(evidence)) => Some(evidence.revision),
+                (None, None) => None,
+            });
+        in_use.fold(required, Revision::min)
     }
 
-    pub(crate) fn raise_floor(&mut self, to: Revision, because_of: &str) {
+    /// Raises the floor so that the attempts of `shut_out_node` no longer run. The floor is never lowered here.
+    pub(crate) fn raise_floor(&mut self, to: Revision, shut_out_node: &str) {
         if to > self.floor {
             let from = self.floor;
             self.floor = to;
-            self.note(Happening::FloorRose { from, to, because_of: because_of.to_owned() });
+            self.append_history(AuditRecord::FloorRaised {
+                from,
+                to,
+                shut_out_node: shut_out_node.to_owned(),
+            });
         }
     }
 
-    /// A node's crash after a revision, or its refusal of it. Enough of them halt the floor below it, and nobody is
-    /// behind for not acting on it.
-    pub(crate) fn speaks_against(&mut self, revision: Revision, node: &str, how: &str) {
-        let against = self.revisions.speaks_against(revision, node);
-        let (node, how) = (node.to_owned(), how.to_owned());
-        if against.is_some() {
-            self.note(Happening::Against { revision, node, how });
+    /// Counts a node's crash after it acted on a revision, or its rejection of the revision, against the revision.
+    /// At `crashes_to_halt` nodes the floor is halted below the revision, and no node counts as behind for not
+    /// acting on it.
+    pub(crate) fn suspect_revision(&mut self, revision: Revision, node: &str, reason: &str) {
+        let suspecting_nodes = self.revisions.add_suspicion(revision, node);
+        let (node, reason) = (node.to_owned(), reason.to_owned());
+        if suspecting_nodes.is_some() {
+            self.append_history(AuditRecord::RevisionSuspected { revision, node, reason });
         }
-        let enough = against.is_some_and(|nodes| nodes >= self.config.crashes);
-        if enough && self.halted.is_none_or(|halted| revision < halted) {
-            self.halted = Some(revision);
-            self.note(Happening::Halted { revision });
-            // Whoever was behind only for want of it is no longer.
+        let must_halt = suspecting_nodes.is_some_and(|count| count >= self.config.crashes_to_halt);
+        if must_halt && self.halted_revision.is_none_or(|halted| revision < halted) {
+            self.halted_revision = Some(revision);
+            self.append_history(AuditRecord::FloorHalted { revision });
+            // A node that was behind only because it lacks this revision is not behind any more.
             for node in self.nodes.values_mut() {
-                if node.low.as_ref().is_some_and(|low| low.needed >= revision) {
-                    node.low = None;
+                if node.behind_evidence.as_ref().is_some_and(|evidence| evidence.required >= revision) {
+                    node.behind_evidence = None;
                 }
             }
             let names: Vec<String> = self.nodes.keys().cloned().collect();
-            names.iter().for_each(|name| self.judge(name));
+            names.iter().for_each(|name| self.evaluate_node(name));
         }
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,27 +1,29 @@
-//! Which node acted on which version of the list, and what follows for one that stays behind.
+//! The audit: which node acts on which revision of the server list, and what is done about a straggler.
 //!
-//! The guarantees, kept by [`Audit::apply`] whatever events come in whatever order:
+//! [`Audit::apply`] keeps these guarantees for any events in any order:
 //!
-//! 1. A verdict rests on evidence that is named with it: a node's own report, or what an app server's agent saw of
-//!    attempts. Silence of either is no evidence.
-//! 2. Evidence counts from a time *after* which it surely was so ([`Stamp`]), so neither a slow network nor a
-//!    clock can make a sound node look late.
-//! 3. Never more than the configured part of a pool or of a zone is out, counted with what drains or is dead.
-//!    Where more looks late at once, the cause is shared: the ladder stops and says so.
-//! 4. The floor never falls but by an operator's word, never passes what a sound node still rests on, and never
-//!    passes a revision after which nodes crash or which they refuse.
-//! 5. The history is bounded, and chained by hash: a line that is changed or missing shows.
+//! 1. Each verdict names the evidence that it is based on: a node's own report, or attempts that an app server's
+//!    agent observed. The absence of reports or observations is not evidence.
+//! 2. Evidence is dated by the time *after* which it certainly held ([`Timestamp`]), so neither a slow network nor
+//!    a wrong clock can make an up-to-date node look behind.
+//! 3. No node is shut out from full admission if more than the configured part of its pool or zone would then be
+//!    unavailable: shut out, draining or lost; one node always may be. A node that falls behind on probation is shut
+//!    out at once. Where more nodes are behind at once than the configuration allows, the cause is taken for a
+//!    shared one: escalation stops there and the history records it.
+//! 4. The floor falls only by an operator's command, never rises above a revision that an up-to-date node still
+//!    uses, and never reaches a revision after which nodes crashed or which they rejected.
+//! 5. The history is bounded and chained by hash, so that a changed or missing entry is detected.
 //!
 //! Time is the registry's log time in milliseconds: it comes with the log, stands still while there is no leader,
-//! and is the same at every replica. `docs/audit.md` has the ladder with its times.
+//! and is the same at every replica. `docs/audit.md` describes the escalation steps and their times.
 
 mod config;
+mod escalation;
 mod event;
 mod floor;
 mod history;
-mod ladder;
 mod node;
-mod questions;
+mod queries;
 mod revisions;
 
 use std::collections::BTreeMap;
@@ -29,83 +31,90 @@
 use serde::{Deserialize, Serialize};
 
 pub use config::Config;
-pub use event::{Event, Report, Sight, Stamp, Word};
-pub use history::{verify, Broken, Happening, History, Line};
-pub use node::{Admission, Node, Proof, Step, Witness};
-pub use questions::{Acted, Spread, Standing};
-pub use revisions::{AfterDrain, Revisions};
+pub use event::{Event, Observation, OperatorCommand, Report, Timestamp};
+pub use history::{verify_chain, AuditRecord, ChainError, History, HistoryEntry};
+pub use node::{Admission, EscalationStep, Evidence, EvidenceSource, Node};
+pub use queries::{NodeActivity, NodeRevision, Propagation};
+pub use revisions::{RequestAfterDrain, Revisions};
 
 /// Milliseconds of log time.
 pub type Ms = u64;
-/// A version of the list: the log's index of its last change.
+/// A revision of the server list: the log index of the entry that last changed the list.
 pub type Revision = u64;
 
-/// The audit's whole state.
+/// The state of the audit.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Audit {
     config: Config,
     now: Ms,
     nodes: BTreeMap<String, Node>,
     revisions: Revisions,
-    /// Attempts decided below it are refused.
+    /// Servers refuse attempts that were decided on a lower revision.
     floor: Revision,
-    /// The floor does not reach this revision: after it nodes crashed, or refused it.
-    halted: Option<Revision>,
-    /// Where more is behind than the cap allows: the pool or zone, and since when.
-    shared: BTreeMap<String, Ms>,
+    /// The floor stays below this revision, because nodes crashed after acting on it or rejected it.
+    #[serde(rename = "halted")]
+    halted_revision: Option<Revision>,
+    /// The pools and zones where too many nodes are behind at once, and since when.
+    #[serde(rename = "shared")]
+    shared_causes: BTreeMap<String, Ms>,
     history: History,
 }
 
 impl Audit {
-    /// An audit of nothing yet.
+    /// Creates an audit without any nodes or revisions.
     pub fn new(config: Config) -> Audit {
-        let history = History::new(config.history);
+        let history = History::new(config.max_history_entries);
         Audit {
-            revisions: Revisions::new(config.revisions, config.refused),
+            revisions: Revisions::new(config.max_revisions, config.max_requests_after_drain),
             config,
             now: 0,
             nodes: BTreeMap::new(),
             floor: 0,
-            halted: None,
-            shared: BTreeMap::new(),
+            halted_revision: None,
+            shared_causes: BTreeMap::new(),
             history,
         }
     }
 
-    /// Takes one event at a time of the log; an earlier time than the last is taken as the last.
+    /// Applies one event of the log. If `now` is earlier than the last event's time, that time is used instead.
     pub fn apply(&mut self, now: Ms, event: &Event) {
         self.now = self.now.max(now);
         match event {
-            Event::Committed { revision, unix_ms } => self.committed(*revision, *unix_ms),
+            Event::Committed { revision, unix_ms } => self.commit_revision(*revision, *unix_ms),
             Event::Joined { node, pool, zone, incarnation, program, config } => {
-                self.joined(node, pool, zone, *incarnation, program, config);
+                self.register_process(node, pool, zone, *incarnation, program, config);
             }
-            Event::Left { node } => self.left(node),
-            Event::Lost { node } => self.lost(node),
-            Event::Drains { node, drains } => self.drains(node, *drains),
-            Event::Reported(report) => self.reported(report),
-            Event::Seen { server, sights } => {
-                sights.iter().take(self.config.sights).for_each(|sight| self.seen(server, sight));
+            Event::Removed { node } => self.remove_node(node),
+            Event::LeaseExpired { node } => self.mark_lease_expired(node),
+            Event::DrainChanged { node, is_draining } => self.set_draining(node, *is_draining),
+            Event::Reported(report) => self.apply_report(report),
+            Event::Observed { server, observations } => {
+                let kept = observations.iter().take(self.config.max_observations);
+                kept.for_each(|observation| self.apply_observation(server, observation));
+            }
+            Event::ListForwarded { node, forwarded_revision, agent_revision } => {
+                self.record_forwarding(node, *forwarded_revision, *agent_revision);
             }
-            Event::Told { node, told, held } => self.told(node, *told, *held),
             Event::Tick => self.tick(),
-            Event::Word { who, why, word } => self.word(who, why, word),
+            Event::Operator { operator, reason, command } => {
+                self.apply_operator_command(operator, reason, command);
+            }
         }
     }
 
-    /// The floor: what is decided below it must not run.
+    /// The floor: servers refuse attempts that were decided on a lower revision.
     pub fn floor(&self) -> Revision {
         self.floor
     }
 
-    /// The revision that the floor does not reach, where one is halted.
-    pub fn halted(&self) -> Option<Revision> {
-        self.halted
+    /// The revision that the floor has to stay below, if it is halted.
+    pub fn halted_revision(&self) -> Option<Revision> {
+        self.halted_revision
     }
 
-    /// The pools and zones where too many are behind at once, with since when.
-    pub fn shared(&self) -> &BTreeMap<String, Ms> {
-        &self.shared
+    /// The pools and zones where too many nodes are behind at once, and since when.
+    pub fn shared_causes(&self) -> &BTreeMap<String, Ms> {
+        &self.shared_causes
     }
 
     /// The nodes by name.
@@ -113,17 +122,17 @@
         &self.nodes
     }
 
-    /// What happened, chained.
+    /// The history of verdicts and of what the audit was told.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The time of the last event.
+    /// The log time of the last event.
     pub fn now(&self) -> Ms {
         self.now
     }
 
-    fn note(&mut self, what: Happening) {
-        self.history.push(self.now, what);
+    fn append_history(&mut self, record: AuditRecord) {
+        self.history.push(self.now, record);
     }
 }
--- a/crates/audit/src/node.rs
+++ b/crates/audit/src/node.rs
@@ -1,139 +1,167 @@
-//! What is known of one node, and the evidence for and against it.
+//! The state of one node, and the evidence on whether the node acts on the revision that it should.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Audit, Event, Happening, Ms, Report, Revision, Sight, Stamp};
+use crate::{Audit, AuditRecord, Event, Ms, Observation, Report, Revision, Timestamp};
 
-/// Claims that are kept. A node reports a few times a second: more than lie within an attempt's time under way.
-const CLAIMS: usize = 32;
+/// How many claims of a node are kept. A node reports a few times a second, so these reach back further than the
+/// longest time that an attempt is in flight.
+const MAX_CLAIMS: usize = 32;
 
-/// Who vouches for a proof.
+/// Who provided a piece of evidence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Witness {
-    /// The node itself.
+pub enum EvidenceSource {
+    /// The node's own report.
     Report,
-    /// This app server's agent.
+    /// The agent of this app server.
     Server(String),
 }
 
-/// Evidence that a node acted on a revision when it ought to have acted on another, or a later one.
+/// Evidence that a node acted on a revision, and which revision it had to have reached by then. The node is behind
+/// where `revision` is less than `required`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Proof {
-    /// The revision it acted on.
+pub struct Evidence {
+    /// The revision that the node acted on.
     pub revision: Revision,
-    /// The oldest that it might have acted on by then.
-    pub needed: Revision,
-    /// Since when it surely was so.
-    pub at: Stamp,
-    /// Who vouches for it.
-    pub by: Witness,
+    /// The oldest revision that the node was allowed to act on at that time.
+    #[serde(rename = "needed")]
+    pub required: Revision,
+    /// When the node acted on the revision.
+    pub at: Timestamp,
+    /// Who provided the evidence.
+    #[serde(rename = "by")]
+    pub source: EvidenceSource,
 }
 
-/// A step of the ladder.
+/// An escalation step: what is done about a node that is behind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Step {
-    /// Nothing is asked of it.
+pub enum EscalationStep {
+    /// Nothing is asked of the node or its agent.
     #[default]
-    Fine,
-    /// Its agent drops its watch and takes the whole list from another replica.
-    ToldAgain,
-    /// Its agent starts its watch from nothing, and the node's too.
-    Rewatched,
-    /// Its host drains and restarts it.
+    #[serde(rename = "fine")]
+    Normal,
+    /// The node's agent drops its watch and takes the whole list from another replica.
+    #[serde(rename = "told_again")]
+    ListRefetched,
+    /// The agent does so again and also closes the node's watch: the node reopens it and gets the whole list.
+    #[serde(rename = "rewatched")]
+    WatchesReopened,
+    /// The node's host drains and restarts the node.
     Restarted,
-    /// It is shut out.
-    Out,
+    /// The node is shut out.
+    #[serde(rename = "out")]
+    ShutOut,
 }
 
-/// What a node may get of its share of requests.
+/// How much of its share of requests a node may get.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Admission {
-    /// All of it.
+    /// All of its share.
     #[default]
     Full,
-    /// A small part, after it has proved itself.
-    Part,
-    /// Nothing.
-    Out,
+    /// A small part of its share, after the node was shut out and has caught up.
+    #[serde(rename = "part")]
+    Probation,
+    /// No requests.
+    #[serde(rename = "out")]
+    ShutOut,
 }
 
-/// A node.
+/// What the audit knows about a node.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Node {
-    /// Its pool.
+    /// The node's pool.
     pub pool: String,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Its process.
+    /// The incarnation of the node's process.
     pub incarnation: u64,
-    /// The version of its program.
+    /// The version of the node's program.
     pub program: String,
-    /// The version of its configuration.
+    /// The version of the node's configuration.
     pub config: String,
-    /// The newest revision written to it, and the newest that its agent has.
-    pub told: Revision,
-    /// The newest that its agent has.
-    pub held: Revision,
-    /// The revision that it says its next decision rests on, and the oldest that a request still rests on.
-    pub standing: Revision,
-    /// The oldest that a request in flight still rests on.
-    pub oldest: Revision,
-    /// When the newest report of this process was applied; none yet is `None`.
-    pub reported: Option<Ms>,
-    /// What it claimed to stand on, and when the report that first said so was applied: the latest claims, oldest
-    /// first.
+    /// The newest revision that the agent wrote to the node's watch.
+    #[serde(rename = "told")]
+    pub forwarded_revision: Revision,
+    /// The newest revision that the node's agent has.
+    #[serde(rename = "held")]
+    pub agent_revision: Revision,
+    /// The revision that, by the node's report, its next decision will be based on.
+    #[serde(rename = "standing")]
+    pub current_revision: Revision,
+    /// The oldest revision that, by the node's report, a request in flight is based on.
+    #[serde(rename = "oldest")]
+    pub oldest_in_flight: Revision,
+    /// When the newest report of this process was applied; `None` before the first one.
+    #[serde(rename = "reported")]
+    pub last_report_at: Option<Ms>,
+    /// The latest revisions that the node claimed to act on, each with the time at which the first report of it was
+    /// applied; oldest first.
     pub claims: VecDeque<(Revision, Ms)>,
-    /// The newest evidence that it was behind, and that it was not.
-    pub low: Option<Proof>,
-    /// The newest evidence that it was not behind.
-    pub good: Option<Proof>,
-    /// Its attempts belied its report: only a new process is believed again.
-    pub lies: bool,
-    /// It drains for another reason.
-    pub drains: bool,
-    /// Its lease has run out.
-    pub lost: bool,
-    /// The step of the ladder that it is on, since when, and the highest it was on before it recovered.
-    pub step: Step,
-    /// Since when it is on that step.
-    pub step_at: Ms,
-    /// The highest step that it reached lately.
-    pub reached: Step,
-    /// When it last recovered, and how often it came back and fell behind again.
-    pub recovered: Ms,
-    /// How often it came back in and fell behind again.
+    /// The newest evidence that the node was behind.
+    #[serde(rename = "low")]
+    pub behind_evidence: Option<Evidence>,
+    /// The newest evidence that the node was up to date.
+    #[serde(rename = "good")]
+    pub up_to_date_evidence: Option<Evidence>,
+    /// Whether observed attempts contradicted the node's reports. Reports are believed again from a new process
+    /// only.
+    #[serde(rename = "lies")]
+    pub is_contradicted: bool,
+    /// Whether the node is draining for a reason other than the audit.
+    #[serde(rename = "drains")]
+    pub is_draining: bool,
+    /// Whether the node's lease has expired.
+    #[serde(rename = "lost")]
+    pub is_lease_expired: bool,
+    /// The escalation step that the node is on.
+    pub step: EscalationStep,
+    /// Since when the node is on that step.
+    #[serde(rename = "step_at")]
+    pub step_since: Ms,
+    /// The highest step that the node was on before it recovered.
+    #[serde(rename = "reached")]
+    pub highest_step: EscalationStep,
+    /// When the node last recovered.
+    #[serde(rename = "recovered")]
+    pub recovered_at: Ms,
+    /// How often the node fell behind again while it was on probation.
     pub relapses: u32,
-    /// What it may get.
+    /// How much of its share of requests the node may get.
     pub admission: Admission,
-    /// Since when.
-    pub admitted: Ms,
-    /// The process that was shut out.
-    pub out_incarnation: u64,
+    /// When the node was last readmitted, on probation or in full.
+    #[serde(rename = "admitted")]
+    pub admitted_at: Ms,
+    /// The incarnation of the process that was last shut out from full admission.
+    #[serde(rename = "out_incarnation")]
+    pub shut_out_incarnation: u64,
 }
 
 impl Node {
-    /// Whether the newest evidence says that it is behind.
-    pub fn behind(&self) -> bool {
-        match (&self.low, &self.good) {
-            (Some(low), Some(good)) => low.at.after > good.at.after,
-            (low, None) => low.is_some(),
+    /// Whether the newest evidence says that the node is behind.
+    pub fn is_behind(&self) -> bool {
+        match (&self.behind_evidence, &self.up_to_date_evidence) {
+            (Some(behind), Some(up_to_date)) => behind.at.not_before > up_to_date.at.not_before,
+            (behind, None) => behind.is_some(),
             (None, _) => false,
         }
     }
 
-    /// Whether it is out, draining or dead.
-    pub fn away(&self) -> bool {
-        self.drains || self.lost || self.admission == Admission::Out
+    /// Whether the node is shut out, draining or lost.
+    pub fn is_unavailable(&self) -> bool {
+        self.is_draining || self.is_lease_expired || self.admission == Admission::ShutOut
     }
 }
 
 impl Audit {
-    pub(crate) fn joined(
+    /// Registers a node, or a new process of a node. The evidence about an earlier process is dropped, and its end
+    /// may count against the revision that it acted on last.
+    pub(crate) fn register_process(
         &mut self,
         name: &str,
         pool: &str,
@@ -142,159 +170,182 @@
         program: &str,
         config: &str,
     ) {
-        if !self.nodes.contains_key(name) && self.nodes.len() >= self.config.nodes {
-            return self.note(Happening::TooMany { node: name.to_owned() });
+        if !self.nodes.contains_key(name) && self.nodes.len() >= self.config.max_nodes {
+            return self.append_history(AuditRecord::NodeLimitReached { node: name.to_owned() });
         }
         let now = self.now;
         let node = self.nodes.entry(name.to_owned()).or_default();
-        let (was, first) = (node.incarnation, node.incarnation == 0);
+        let (previous_incarnation, is_first) = (node.incarnation, node.incarnation == 0);
         (node.pool, node.zone) = (pool.to_owned(), zone.to_owned());
         (node.program, node.config) = (program.to_owned(), config.to_owned());
-        let asked = node.step == Step::Restarted || node.away();
-        node.lost = false;
-        if incarnation <= was && !first {
+        let is_end_expected = node.step == EscalationStep::Restarted || node.is_unavailable();
+        node.is_lease_expired = false;
+        if incarnation <= previous_incarnation && !is_first {
             return;
         }
-        let acted = node.standing;
+        let previous_revision = node.current_revision;
         node.incarnation = incarnation;
-        // A new process owes nothing to what the old one said or did: neither its claims nor its lies, nor what was
-        // seen of it. A step of the ladder stays until there is evidence of the new one.
-        (node.low, node.good) = (None, None);
-        (node.standing, node.oldest, node.reported) = (0, 0, None);
+        // Nothing that the previous process reported or that was observed of it says anything about the new one. The
+        // escalation step stays until there is evidence about the new process.
+        (node.behind_evidence, node.up_to_date_evidence) = (None, None);
+        (node.current_revision, node.oldest_in_flight, node.last_report_at) = (0, 0, None);
         node.claims.clear();
-        (node.lies, node.drains) = (false, false);
+        (node.is_contradicted, node.is_draining) = (false, false);
         let (node, program, config) = (name.to_owned(), program.to_owned(), config.to_owned());
-        self.note(Happening::Started { node: node.clone(), incarnation, program, config });
-        if !first && !asked && self.revisions.acted_lately(acted, &node, now, self.config.crash_window) {
-            self.speaks_against(acted, &node, "its process ended soon after acting on it");
+        self.append_history(AuditRecord::Started { node: node.clone(), incarnation, program, config });
+        let has_crashed = !is_first
+            && !is_end_expected
+            && self.revisions.acted_within(previous_revision, &node, now, self.config.crash_window_ms);
+        if has_crashed {
+            self.suspect_revision(previous_revision, &node, "its process ended soon after acting on it");
         }
     }
 
-    pub(crate) fn left(&mut self, name: &str) {
+    /// Removes a node that was taken out of the registry on purpose.
+    pub(crate) fn remove_node(&mut self, name: &str) {
         if self.nodes.remove(name).is_some() {
-            self.revisions.left(self.now, name);
-            self.note(Happening::Left { node: name.to_owned() });
+            self.revisions.remove_node(self.now, name);
+            self.append_history(AuditRecord::Removed { node: name.to_owned() });
         }
     }
 
-    pub(crate) fn lost(&mut self, name: &str) {
-        let Some(node) = self.nodes.get_mut(name).filter(|node| !node.lost) else { return };
-        node.lost = true;
-        self.note(Happening::Lost { node: name.to_owned() });
+    /// Marks a node whose lease expired. The node stays in the audit, because it may still serve requests.
+    pub(crate) fn mark_lease_expired(&mut self, name: &str) {
+        let Some(node) = self.nodes.get_mut(name).filter(|node| !node.is_lease_expired) else { return };
+        node.is_lease_expired = true;
+        self.append_history(AuditRecord::LeaseExpired { node: name.to_owned() });
     }
 
-    pub(crate) fn drains(&mut self, name: &str, drains: bool) {
+    pub(crate) fn set_draining(&mut self, name: &str, is_draining: bool) {
         if let Some(node) = self.nodes.get_mut(name) {
-            node.drains = drains;
+            node.is_draining = is_draining;
         }
     }
 
-    pub(crate) fn told(&mut self, name: &str, told: Revision, held: Revision) {
+    pub(crate) fn record_forwarding(
+        &mut self,
+        name: &str,
+        forwarded_revision: Revision,
+        agent_revision: Revision,
+    ) {
         if let Some(node) = self.nodes.get_mut(name) {
-            (node.told, node.held) = (node.told.max(told), node.held.max(held));
+            node.forwarded_revision = node.forwarded_revision.max(forwarded_revision);
+            node.agent_revision = node.agent_revision.max(agent_revision);
         }
     }
 
-    pub(crate) fn reported(&mut self, report: &Report) {
-        // What nobody committed can't be acted on: noted, and nothing else is believed of it.
-        if report.standing > self.revisions.newest() {
-            let (node, revision) = (report.node.clone(), report.standing);
-            return self.note(Happening::Impossible { node, revision, by: Witness::Report });
+    /// Applies a node's report about itself. Reports of another process than the registered one are ignored.
+    pub(crate) fn apply_report(&mut self, report: &Report) {
+        // No node can act on a revision that was never committed: the report is recorded and otherwise ignored.
+        if report.current_revision > self.revisions.newest() {
+            let (node, revision) = (report.node.clone(), report.current_revision);
+            let source = EvidenceSource::Report;
+            return self.append_history(AuditRecord::UnknownRevision { node, revision, source });
         }
-        let needed = self.needed(report.at.after);
+        let required = self.required_revision(report.at.not_before);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&report.node) else { return };
         if report.incarnation != node.incarnation {
             return;
         }
-        if report.standing < node.standing {
-            let (name, from, to) = (report.node.clone(), node.standing, report.standing);
-            return self.note(Happening::FellBack { node: name, from, to });
+        if report.current_revision < node.current_revision {
+            let (name, from, to) = (report.node.clone(), node.current_revision, report.current_revision);
+            return self.append_history(AuditRecord::RevisionRegressed { node: name, from, to });
         }
-        if report.standing > node.standing {
-            node.claims.push_back((report.standing, now));
-            if node.claims.len() > CLAIMS {
+        if report.current_revision > node.current_revision {
+            node.claims.push_back((report.current_revision, now));
+            if node.claims.len() > MAX_CLAIMS {
                 node.claims.pop_front();
             }
         }
-        let moved = report.standing > node.standing || node.reported.is_none();
-        (node.standing, node.oldest) = (report.standing, report.oldest.min(report.standing));
-        node.reported = Some(now);
-        let proof = Proof { revision: report.standing, needed, at: report.at, by: Witness::Report };
-        if report.standing < needed {
-            replace(&mut node.low, proof);
-        } else if !node.lies {
-            replace(&mut node.good, proof);
+        let has_advanced = report.current_revision > node.current_revision || node.last_report_at.is_none();
+        node.current_revision = report.current_revision;
+        node.oldest_in_flight = report.oldest_in_flight.min(report.current_revision);
+        node.last_report_at = Some(now);
+        let revision = report.current_revision;
+        let evidence = Evidence { revision, required, at: report.at, source: EvidenceSource::Report };
+        if report.current_revision < required {
+            keep_newer(&mut node.behind_evidence, evidence);
+        } else if !node.is_contradicted {
+            keep_newer(&mut node.up_to_date_evidence, evidence);
         }
-        self.revisions.decided(now, report);
-        if moved {
-            let (node, revision) = (report.node.clone(), report.standing);
-            self.note(Happening::Acted { node, incarnation: report.incarnation, revision, at: report.at });
+        self.revisions.record_report(now, report);
+        if has_advanced {
+            let (node, incarnation, at) = (report.node.clone(), report.incarnation, report.at);
+            self.append_history(AuditRecord::Acted { node, incarnation, revision, at });
         }
-        if let Some(refused) = report.refuses.filter(|&refused| refused <= self.revisions.newest()) {
-            self.speaks_against(refused, &report.node, "it can't act on it");
+        let newest = self.revisions.newest();
+        if let Some(rejected) = report.rejected_revision.filter(|&rejected| rejected <= newest) {
+            self.suspect_revision(rejected, &report.node, "it can't act on it");
         }
-        self.judge(&report.node);
+        self.evaluate_node(&report.node);
     }
 
-    pub(crate) fn seen(&mut self, server: &str, sight: &Sight) {
-        let by = Witness::Server(server.to_owned());
-        if sight.revision > self.revisions.newest() {
-            let (node, revision) = (sight.node.clone(), sight.revision);
-            return self.note(Happening::Impossible { node, revision, by });
+    /// Applies a server's observation of a node's attempts.
+    pub(crate) fn apply_observation(&mut self, server: &str, observation: &Observation) {
+        let source = EvidenceSource::Server(server.to_owned());
+        if observation.revision > self.revisions.newest() {
+            let (node, revision) = (observation.node.clone(), observation.revision);
+            return self.append_history(AuditRecord::UnknownRevision { node, revision, source });
         }
-        let needed = self.needed(sight.last.after.saturating_sub(self.config.flight));
-        let flight = self.config.flight;
-        let Some(node) = self.nodes.get_mut(&sight.node) else { return };
-        self.revisions.seen(self.now, server, sight);
-        // What an earlier process left under way says nothing of this one.
-        if sight.incarnation < node.incarnation {
+        // The attempt may have been decided on up to `max_flight_ms` before the server observed it.
+        let max_flight_ms = self.config.max_flight_ms;
+        let required = self.required_revision(observation.last.not_before.saturating_sub(max_flight_ms));
+        let Some(node) = self.nodes.get_mut(&observation.node) else { return };
+        self.revisions.record_observation(self.now, server, observation);
+        // Attempts that an earlier process left in flight say nothing about the present one.
+        if observation.incarnation < node.incarnation {
             return;
         }
-        let proof = Proof { revision: sight.revision, needed, at: sight.last, by: by.clone() };
-        // By the first claim of a later revision: one that claims a new one each moment lies all the same.
-        let later = node.claims.iter().find(|(claimed, _)| *claimed > sight.revision);
-        let lie = sight.incarnation == node.incarnation
-            && later.is_some_and(|(_, since)| sight.last.after > since + flight);
-        if sight.revision < needed {
-            replace(&mut node.low, proof);
+        let (revision, at) = (observation.revision, observation.last);
+        let evidence = Evidence { revision, required, at, source: source.clone() };
+        // The first claim of a later revision counts, not the latest one: otherwise a node that claims a new
+        // revision with every report would never be found to contradict its reports.
+        let later_claim = node.claims.iter().find(|(claimed, _)| *claimed > observation.revision);
+        let contradicts_report = observation.incarnation == node.incarnation
+            && later_claim
+                .is_some_and(|(_, claimed_at)| observation.last.not_before > claimed_at + max_flight_ms);
+        if observation.revision < required {
+            keep_newer(&mut node.behind_evidence, evidence);
         } else {
-            replace(&mut node.good, proof);
+            keep_newer(&mut node.up_to_date_evidence, evidence);
         }
-        if lie && !node.lies {
-            node.lies = true;
-            // What it said of itself no longer speaks for it.
-            node.good = node.good.take().filter(|good| good.by != Witness::Report);
-            let (node, says) = (sight.node.clone(), node.standing);
-            self.note(Happening::Lied { node, says, acts: sight.revision, by });
+        if contradicts_report && !node.is_contradicted {
+            node.is_contradicted = true;
+            // The node's own reports no longer count as evidence that it is up to date.
+            node.up_to_date_evidence =
+                node.up_to_date_evidence.take().filter(|evidence| evidence.source != EvidenceSource::Report);
+            let (node, reported) = (observation.node.clone(), node.current_revision);
+            let observed = observation.revision;
+            self.append_history(AuditRecord::ReportContradicted { node, reported, observed, source });
         }
-        self.judge(&sight.node);
+        self.evaluate_node(&observation.node);
     }
 
-    /// The oldest revision that a sound node may act on at a time: the newest whose grace is over, and nothing that
-    /// is halted.
-    pub(crate) fn needed(&self, at: Ms) -> Revision {
-        let due = at.saturating_sub(self.config.grace);
-        self.revisions.at(due, self.halted)
+    /// Returns the oldest revision that an up-to-date node may act on at log time `at`: the newest one whose grace
+    /// time is over by then and that lies below the halted revision.
+    pub(crate) fn required_revision(&self, at: Ms) -> Revision {
+        let committed_by = at.saturating_sub(self.config.grace_ms);
+        self.revisions.newest_committed_by(committed_by, self.halted_revision)
     }
 }
 
-/// Keeps the newer proof.
-fn replace(old: &mut Option<Proof>, new: Proof) {
-    if old.as_ref().is_none_or(|old| new.at.after >= old.at.after) {
-        *old = Some(new);
+/// Replaces `kept` unless it is newer than `new`.
+fn keep_newer(kept: &mut Option<Evidence>, new: Evidence) {
+    if kept.as_ref().is_none_or(|kept| new.at.not_before >= kept.at.not_before) {
+        *kept = Some(new);
     }
 }
 
 impl Event {
-    /// The node that it is about, where it is about one.
+    /// The node that the event is about, if it is about a single one.
     pub fn node(&self) -> Option<&str> {
         match self {
             Event::Joined { node, .. }
-            | Event::Left { node }
-            | Event::Lost { node }
-            | Event::Drains { node, .. }
-            | Event::Told { node, .. } => Some(node),
+            | Event::Removed { node }
+            | Event::LeaseExpired { node }
+            | Event::DrainChanged { node, .. }
+            | Event::ListForwarded { node, .. } => Some(node),
             Event::Reported(report) => Some(&report.node),
             _ => None,
         }
--- a/crates/audit/tests/schedules/world.rs
+++ b/crates/audit/tests/schedules/world.rs
@@ -1,4 +1,5 @@
-//! A fleet whose truth is known, and the words about it that reach the audit late, doubled or never.
+//! A simulated fleet whose actual state is known. Reports and observations about it reach the audit late, twice or
+//! never.
 
 use std::collections::BTreeMap;
 
@@ -7,40 +8,42 @@
 use rand_chacha::ChaCha8Rng;
 
 pub const SERVERS: usize = 3;
-/// A sound node acts on a revision before its grace is over, at the last step that still allows it.
-const LONGEST_STEP: Ms = 700;
+/// The longest step of the simulation. A healthy node acts on a revision before its grace time is over, at the last
+/// step that still allows it.
+const MAX_STEP_MS: Ms = 700;
 
-/// What a node is like.
+/// How a simulated node behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// Acts on each revision well within the grace.
-    Sound,
-    /// Stays on a revision, and says so.
+pub enum Behavior {
+    /// Acts on each revision well within the grace time.
+    Healthy,
+    /// Stays on a revision, and reports so.
     Stuck,
-    /// Stays on a revision, and says that it does not.
-    Liar,
-    /// Is behind at times.
+    /// Stays on a revision, and reports the newest one.
+    Misreporting,
+    /// Is behind from time to time.
     Flapping,
-    /// Ends soon after it acts on a bad revision.
+    /// Its process ends soon after it acts on a bad revision.
     Crashing,
 }
 
-/// A node as it truly is.
+/// The actual state of a simulated node.
 #[derive(Clone, Debug)]
-pub struct Truth {
-    pub kind: Kind,
+pub struct SimNode {
+    pub behavior: Behavior,
     pub incarnation: u64,
-    /// What its present process acted on first.
-    pub began: Revision,
-    pub acts: Revision,
-    /// The oldest that is under way, until when.
-    pub under_way: (Revision, Ms),
-    /// Since when it has acted on all that it had to, by its own process.
-    pub sound_since: Option<Ms>,
+    /// The first revision that the present process acted on.
+    pub first_revision: Revision,
+    /// The revision that the node acts on now.
+    pub acts_on: Revision,
+    /// The oldest revision of an attempt in flight, and until when the attempt is in flight.
+    pub in_flight: (Revision, Ms),
+    /// Since when the present process has acted on every revision that it was required to act on.
+    pub up_to_date_since: Option<Ms>,
     pub silent_until: Ms,
     pub zone: usize,
-    /// Its lease has run out and its agent has not come back.
-    pub lost: bool,
+    /// Whether the lease has expired and the agent has not registered the node again.
+    pub is_lease_expired: bool,
 }
 
 pub struct World {
@@ -48,40 +51,46 @@
     pub config: Config,
     pub rng: ChaCha8Rng,
     pub now: Ms,
-    pub nodes: BTreeMap<String, Truth>,
+    pub nodes: BTreeMap<String, SimNode>,
     pub commits: Vec<(Revision, Ms)>,
-    /// How likely a step changes the list.
-    pub changes: f64,
-    pub bad: Option<Revision>,
-    /// Words under way: when they arrive.
-    pub words: Vec<(Ms, Event)>,
-    /// The newest happening that was looked at.
-    pub read: u64,
-    /// Events as they were applied, for another replica.
+    /// The probability that a step commits a new revision.
+    pub commit_probability: f64,
+    /// The revision after which nodes crash.
+    pub bad_revision: Option<Revision>,
+    /// Reports and observations that are on their way, with their time of arrival.
+    pub in_transit: Vec<(Ms, Event)>,
+    /// The number of the newest history entry that was checked.
+    pub checked_number: u64,
+    /// The events as they were applied, to apply them to another replica.
     pub log: Vec<(Ms, Event)>,
 }
 
 impl World {
     pub fn new(seed: u64, config: Config) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let all = rng.random_range(4..14);
+        let node_count = rng.random_range(4..14);
         let zones = rng.random_range(1..4);
-        const ODD: [Kind; 4] = [Kind::Stuck, Kind::Liar, Kind::Flapping, Kind::Crashing];
-        let odd = [ODD[rng.random_range(0..4)], ODD[rng.random_range(0..4)]];
-        let part = [0.0, 0.1, 0.3, 0.9][rng.random_range(0..4)];
-        let truth = |rng: &mut ChaCha8Rng, zone| Truth {
-            kind: if rng.random_bool(part) { odd[rng.random_range(0..2)] } else { Kind::Sound },
+        const FAULTY: [Behavior; 4] =
+            [Behavior::Stuck, Behavior::Misreporting, Behavior::Flapping, Behavior::Crashing];
+        let faulty = [FAULTY[rng.random_range(0..4)], FAULTY[rng.random_range(0..4)]];
+        let faulty_probability = [0.0, 0.1, 0.3, 0.9][rng.random_range(0..4)];
+        let new_node = |rng: &mut ChaCha8Rng, zone| SimNode {
+            behavior: if rng.random_bool(faulty_probability) {
+                faulty[rng.random_range(0..2)]
+            } else {
+                Behavior::Healthy
+            },
             incarnation: 1,
-            began: 0,
-            acts: 0,
-            under_way: (0, 0),
-            sound_since: Some(0),
+            first_revision: 0,
+            acts_on: 0,
+            in_flight: (0, 0),
+            up_to_date_since: Some(0),
             silent_until: 0,
             zone,
-            lost: false,
+            is_lease_expired: false,
         };
-        let nodes = (0..all).map(|n| (format!("n{n}"), truth(&mut rng, n % zones))).collect();
-        let changes = [0.06, 0.06, 0.5][rng.random_range(0..3)];
+        let nodes = (0..node_count).map(|n| (format!("n{n}"), new_node(&mut rng, n % zones))).collect();
+        let commit_probability = [0.06, 0.06, 0.5][rng.random_range(0..3)];
         let audit = Audit::new(config.clone());
         let mut world = World {
             audit,
@@ -90,14 +99,14 @@
             now: 1_000,
             nodes,
             commits: Vec::new(),
-            changes,
-            bad: None,
-            words: Vec::new(),
-            read: 0,
+            commit_probability,
+            bad_revision: None,
+            in_transit: Vec::new(),
+            checked_number: 0,
             log: Vec::new(),
         };
         let names: Vec<String> = world.nodes.keys().cloned().collect();
-        names.iter().for_each(|name| world.join(name));
+        names.iter().for_each(|name| world.register(name));
         world
     }
 
@@ -106,10 +115,10 @@
         self.log.push((self.now, event));
     }
 
-    fn join(&mut self, name: &str) {
-        let truth = self.nodes.get_mut(name).unwrap();
-        truth.lost = false;
-        let (zone, incarnation) = (format!("z{}", truth.zone), truth.incarnation);
+    fn register(&mut self, name: &str) {
+        let node = self.nodes.get_mut(name).unwrap();
+        node.is_lease_expired = false;
+        let (zone, incarnation) = (format!("z{}", node.zone), node.incarnation);
         let (program, config) = ("1.0".to_owned(), "a".to_owned());
         self.apply(Event::Joined {
             node: name.to_owned(),
@@ -121,159 +130,163 @@
         });
     }
 
-    /// What a node has to act on by a time at the latest.
-    pub fn due(&self, at: Ms) -> Revision {
-        let due = self.commits.iter().rev().find(|(_, when)| when + self.config.grace <= at);
-        due.map_or(0, |(revision, _)| *revision)
+    /// The revision that a node is required to act on at log time `at`.
+    pub fn required_revision(&self, at: Ms) -> Revision {
+        let required =
+            self.commits.iter().rev().find(|(_, committed)| committed + self.config.grace_ms <= at);
+        required.map_or(0, |(revision, _)| *revision)
     }
 
     pub fn newest(&self) -> Revision {
         self.commits.last().map_or(0, |(revision, _)| *revision)
     }
 
-    /// A step of some hundred milliseconds.
+    /// Advances the simulation by a few hundred milliseconds.
     pub fn step(&mut self) {
-        self.now += self.rng.random_range(100..LONGEST_STEP);
-        if self.rng.random_bool(self.changes) {
+        self.now += self.rng.random_range(100..MAX_STEP_MS);
+        if self.rng.random_bool(self.commit_probability) {
             let revision = self.newest() + self.rng.random_range(1..9);
             self.commits.push((revision, self.now));
-            if self.bad.is_none() && self.rng.random_bool(0.2) {
-                self.bad = Some(revision);
+            if self.bad_revision.is_none() && self.rng.random_bool(0.2) {
+                self.bad_revision = Some(revision);
             }
             self.apply(Event::Committed { revision, unix_ms: self.now });
         }
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
-            self.live(name);
-            self.talk(name);
+            self.act(name);
+            self.send_reports(name);
         }
         let now = self.now;
-        let mut due: Vec<(Ms, Event)> = Vec::new();
-        self.words.retain(|word| {
-            let arrives = word.0 <= now;
-            due.extend(arrives.then(|| word.clone()));
-            !arrives
+        let mut arrived: Vec<(Ms, Event)> = Vec::new();
+        self.in_transit.retain(|message| {
+            let has_arrived = message.0 <= now;
+            arrived.extend(has_arrived.then(|| message.clone()));
+            !has_arrived
         });
-        due.sort_by_key(|(at, _)| *at);
-        for (_, event) in due {
-            // A retry that was not needed brings a word twice.
-            let twice = self.rng.random_bool(0.05);
+        arrived.sort_by_key(|(at, _)| *at);
+        for (_, event) in arrived {
+            // An unnecessary retry delivers an event twice.
+            let is_duplicated = self.rng.random_bool(0.05);
             self.apply(event.clone());
-            if twice {
+            if is_duplicated {
                 self.apply(event);
             }
         }
-        // An agent may be out of reach; its node serves on.
+        // An agent may be unreachable while its node goes on serving.
         if self.rng.random_bool(0.01) {
             let node = names[self.rng.random_range(0..names.len())].clone();
-            self.nodes.get_mut(&node).unwrap().lost = true;
-            self.apply(Event::Lost { node });
+            self.nodes.get_mut(&node).unwrap().is_lease_expired = true;
+            self.apply(Event::LeaseExpired { node });
         }
         for name in &names {
-            if self.nodes[name].lost && self.rng.random_bool(0.03) {
-                self.join(name);
+            if self.nodes[name].is_lease_expired && self.rng.random_bool(0.03) {
+                self.register(name);
             }
         }
         self.apply(Event::Tick);
-        self.obey(&names);
+        self.carry_out_restarts(&names);
     }
 
-    /// What a node does by its nature.
-    fn live(&mut self, name: &str) {
-        let (now, newest, due) = (self.now, self.newest(), self.due(self.now + LONGEST_STEP));
-        let bad = self.bad;
+    /// Lets a node act according to its behavior.
+    fn act(&mut self, name: &str) {
+        let (now, newest) = (self.now, self.newest());
+        let required_by_next_step = self.required_revision(self.now + MAX_STEP_MS);
+        let bad_revision = self.bad_revision;
         let flaps = self.rng.random_bool(0.03);
         let goes_silent = self.rng.random_bool(0.01);
         let catches_up = self.rng.random_bool(0.3);
-        let known_due = self.due(now);
-        let truth = self.nodes.get_mut(name).unwrap();
+        let required = self.required_revision(now);
+        let node = self.nodes.get_mut(name).unwrap();
         if goes_silent {
-            truth.silent_until = now + 20_000;
+            node.silent_until = now + 20_000;
         }
-        let before = truth.acts;
-        match truth.kind {
-            Kind::Sound => {
-                truth.acts = if catches_up { newest } else { truth.acts.max(due) };
+        let before = node.acts_on;
+        match node.behavior {
+            Behavior::Healthy => {
+                node.acts_on = if catches_up { newest } else { node.acts_on.max(required_by_next_step) };
             }
-            Kind::Stuck | Kind::Liar => {
-                if truth.acts == 0 {
-                    truth.acts = newest;
+            Behavior::Stuck | Behavior::Misreporting => {
+                if node.acts_on == 0 {
+                    node.acts_on = newest;
                 }
             }
-            Kind::Flapping => {
-                if flaps || truth.acts == 0 {
-                    truth.acts = newest;
+            Behavior::Flapping => {
+                if flaps || node.acts_on == 0 {
+                    node.acts_on = newest;
                 }
             }
-            Kind::Crashing => {
-                truth.acts = truth.acts.max(due);
+            Behavior::Crashing => {
+                node.acts_on = node.acts_on.max(required_by_next_step);
             }
         }
-        if truth.acts > before {
-            truth.under_way = (before, now + 1_000);
+        if node.acts_on > before {
+            node.in_flight = (before, now + 1_000);
         }
-        let sound = truth.acts >= known_due;
-        truth.sound_since = if sound { truth.sound_since.or(Some(now)) } else { None };
-        if truth.kind == Kind::Crashing && bad.is_some_and(|bad| truth.acts >= bad) && flaps {
+        let is_up_to_date = node.acts_on >= required;
+        node.up_to_date_since = if is_up_to_date { node.up_to_date_since.or(Some(now)) } else { None };
+        let acts_on_bad = bad_revision.is_some_and(|bad| node.acts_on >= bad);
+        if node.behavior == Behavior::Crashing && acts_on_bad && flaps {
             self.restart(name);
         }
     }
 
     pub fn restart(&mut self, name: &str) {
         let newest = self.newest();
-        let truth = self.nodes.get_mut(name).unwrap();
-        truth.incarnation += 1;
-        (truth.acts, truth.began) = (newest, newest);
-        truth.under_way = (newest, 0);
-        // A new process of a stuck or lying node is a sound one for a time.
-        self.join(name);
+        let node = self.nodes.get_mut(name).unwrap();
+        node.incarnation += 1;
+        (node.acts_on, node.first_revision) = (newest, newest);
+        node.in_flight = (newest, 0);
+        // The new process of a stuck or misreporting node is up to date until the next revision is required.
+        self.register(name);
     }
 
-    /// What is said of a node, and when it arrives.
-    fn talk(&mut self, name: &str) {
-        let truth = self.nodes[name].clone();
-        let out = self.audit.nodes()[name].admission == Admission::Out;
+    /// Draws which report and observation of a node are sent, and when they arrive.
+    fn send_reports(&mut self, name: &str) {
+        let node = self.nodes[name].clone();
+        let is_shut_out = self.audit.nodes()[name].admission == Admission::ShutOut;
         let heard = self.now.saturating_sub(self.rng.random_range(0..400));
-        let at = Stamp { after: heard, unix_ms: self.now };
-        let arrives = self.now + self.rng.random_range(0..3_000);
-        if truth.silent_until < self.now && self.rng.random_bool(0.5) {
-            let says = if truth.kind == Kind::Liar { self.newest() } else { truth.acts };
-            let oldest = if self.now < truth.under_way.1 { truth.under_way.0 } else { truth.acts };
+        let at = Timestamp { not_before: heard, unix_ms: self.now };
+        let arrives_at = self.now + self.rng.random_range(0..3_000);
+        if node.silent_until < self.now && self.rng.random_bool(0.5) {
+            let reported = if node.behavior == Behavior::Misreporting { self.newest() } else { node.acts_on };
+            let oldest = if self.now < node.in_flight.1 { node.in_flight.0 } else { node.acts_on };
             let report = Report {
                 node: name.to_owned(),
-                incarnation: truth.incarnation,
-                standing: says,
-                oldest: oldest.min(says),
-                decided: vec![(says, 3)],
-                refuses: None,
+                incarnation: node.incarnation,
+                current_revision: reported,
+                oldest_in_flight: oldest.min(reported),
+                decisions: vec![(reported, 3)],
+                rejected_revision: None,
                 at,
             };
-            self.words.push((arrives, Event::Reported(report)));
+            self.in_transit.push((arrives_at, Event::Reported(report)));
         }
-        if !out && self.rng.random_bool(0.5) {
-            // One that was decided before may be under way for a while.
-            let late = self.now < truth.under_way.1 && self.rng.random_bool(0.5);
-            let sight = Sight {
+        if !is_shut_out && self.rng.random_bool(0.5) {
+            // An attempt that was decided on earlier may still be in flight.
+            let is_late = self.now < node.in_flight.1 && self.rng.random_bool(0.5);
+            let observation = Observation {
                 node: name.to_owned(),
-                incarnation: truth.incarnation,
-                revision: if late { truth.under_way.0 } else { truth.acts },
+                incarnation: node.incarnation,
+                revision: if is_late { node.in_flight.0 } else { node.acts_on },
                 count: 2,
                 refused: 0,
-                drained: Vec::new(),
+                requests_after_drain: Vec::new(),
                 first: at,
                 last: at,
             };
             let server = format!("s{}", self.rng.random_range(0..SERVERS));
-            self.words.push((arrives, Event::Seen { server, sights: vec![sight] }));
+            self.in_transit.push((arrives_at, Event::Observed { server, observations: vec![observation] }));
         }
     }
 
-    /// Agents and hosts do what the ladder asks; whether it helps is drawn.
-    fn obey(&mut self, names: &[String]) {
+    /// Restarts nodes whose escalation step asks for it, with a small probability at each step.
+    fn carry_out_restarts(&mut self, names: &[String]) {
         for name in names {
             let node = &self.audit.nodes()[name];
-            let restart = node.step == Step::Restarted && self.now > node.step_at + 500;
-            if restart && node.incarnation == self.nodes[name].incarnation && self.rng.random_bool(0.05) {
+            let must_restart = node.step == EscalationStep::Restarted && self.now > node.step_since + 500;
+            let is_same_process = node.incarnation == self.nodes[name].incarnation;
+            if must_restart && is_same_process && self.rng.random_bool(0.05) {
                 self.restart(name);
             }
         }
--- a/crates/registry/src/changes.rs
+++ b/crates/registry/src/changes.rs
@@ -1,4 +1,4 @@
-//! What changed, for watches that resume.
+//! The latest changes to members, from which a watch resumes.
 
 use std::collections::VecDeque;
 
@@ -6,64 +6,67 @@
 
 use crate::{Member, Revision, Role, State};
 
-/// A change of one member; one that is gone keeps what it last was.
+/// A change of one member. For a removed member, `member` is its last state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Change {
     pub(crate) revision: Revision,
     pub(crate) member: Member,
-    pub(crate) gone: bool,
+    #[serde(rename = "gone")]
+    pub(crate) is_removed: bool,
 }
 
 /// The latest changes, oldest first, bounded.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Changes {
     latest: VecDeque<Change>,
-    /// Changes up to this revision are no longer kept.
-    forgotten: Revision,
+    /// The newest revision whose change was dropped.
+    #[serde(rename = "forgotten")]
+    newest_dropped: Revision,
 }
 
-/// What a watch is told.
+/// What a watch has to be sent so that its list is up to date.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Since {
-    /// The members that changed, each as it is now; `true` for one that is gone.
+pub enum ListUpdate {
+    /// The members that changed, each in its present state; `true` for a removed one.
     Changes(Vec<(Member, bool)>),
-    /// The whole list: too much has changed.
-    Whole(Vec<Member>),
-    /// This replica has not come that far: ask another one, or later.
+    /// The whole list: some of the changes are no longer kept, or the watch has nothing yet.
+    Full(Vec<Member>),
+    /// The watch has a newer revision than this replica: ask another replica, or later.
     Ahead,
 }
 
 impl Changes {
-    pub(crate) fn push(&mut self, change: Change, most: usize) {
+    pub(crate) fn push(&mut self, change: Change, max_changes: usize) {
         self.latest.push_back(change);
-        while self.latest.len() > most {
+        while self.latest.len() > max_changes {
             if let Some(oldest) = self.latest.pop_front() {
-                self.forgotten = oldest.revision;
+                self.newest_dropped = oldest.revision;
             }
         }
     }
 }
 
 impl State {
-    /// What changed for members of a role and pool after a revision. From 0 on it is the whole list.
-    pub fn since(&self, revision: Revision, role: Role, pool: &str) -> Since {
+    /// Returns what changed after `revision` for the members of a role and pool; the whole list for revision 0.
+    pub fn updates_since(&self, revision: Revision, role: Role, pool: &str) -> ListUpdate {
         if revision > self.revision() {
-            return Since::Ahead;
+            return ListUpdate::Ahead;
         }
-        let mine = |member: &Member| member.role == role && member.pool == pool;
-        if revision == 0 || revision < self.changes.forgotten {
-            let members = self.members.values().map(|held| &held.member);
-            return Since::Whole(members.filter(|member| mine(member)).cloned().collect());
+        let is_listed = |member: &Member| member.role == role && member.pool == pool;
+        if revision == 0 || revision < self.changes.newest_dropped {
+            let members = self.members.values().map(|registration| &registration.member);
+            return ListUpdate::Full(members.filter(|member| is_listed(member)).cloned().collect());
         }
         let start = self.changes.latest.partition_point(|change| change.revision <= revision);
         let mut changed: Vec<(Member, bool)> = Vec::new();
-        // The newest word of each member counts.
-        for change in self.changes.latest.iter().skip(start).rev().filter(|change| mine(&change.member)) {
+        // Of several changes of a member, only the newest is sent.
+        let newest_first = self.changes.latest.iter().skip(start).rev();
+        for change in newest_first.filter(|change| is_listed(&change.member)) {
             if !changed.iter().any(|(member, _)| member.id == change.member.id) {
-                changed.push((change.member.clone(), change.gone));
+                changed.push((change.member.clone(), change.is_removed));
             }
         }
         changed.reverse();
-        Since::Changes(changed)
+        ListUpdate::Changes(changed)
     }
 }
--- a/crates/registry/src/command.rs
+++ b/crates/registry/src/command.rs
@@ -1,79 +1,83 @@
-//! What is written to the log, and what comes of it.
+//! Commands, which are written to the log, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Member, Ms, Phase, Revision};
 
-/// What a writer saw before.
+/// The condition of a compare-and-set: what the caller expects to find.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
-    /// Whatever there is.
+    /// Anything: the command is unconditional.
     #[default]
     Any,
-    /// No such member.
+    /// There is no such member.
     Absent,
-    /// The member as it was last changed at this revision.
+    /// The member was last changed at this revision.
     Revision(Revision),
 }
 
-/// A change.
+/// A command to the state machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
-    /// Nothing: what a new leader writes.
-    Nothing,
-    /// Time has passed at the leader, since its last tick or since it became leader.
+    /// Changes nothing; only a leader may write it.
+    #[serde(rename = "nothing")]
+    Noop,
+    /// Advances log time.
     Tick {
-        /// By its monotonic clock.
+        /// The time that passed by the leader's monotonic clock since its last tick or since it became leader.
         elapsed_ms: Ms,
-        /// Its wall clock, for people.
+        /// The leader's wall clock in Unix milliseconds, for operators.
         unix_ms: u64,
     },
     /// Registers a member, or changes it.
     Put {
         /// The member.
         member: Member,
-        /// How long it may be silent; without one it stays until it is removed.
+        /// The duration of the lease; without one the member stays until it is removed.
         #[serde(default)]
         lease_ms: Option<Ms>,
-        /// What there has to be before.
+        /// What has to be there before.
         #[serde(default)]
         expect: Expect,
     },
-    /// Changes the phase alone.
+    /// Changes only the phase of a member.
     SetPhase {
-        /// The member.
+        /// The member's id.
         id: String,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
-        /// What there has to be before.
+        /// What has to be there before.
         #[serde(default)]
         expect: Expect,
     },
-    /// Says that members are alive; a conflict where one of them is not there (the others are renewed).
+    /// Renews the leases of members. The outcome is a conflict if one of them does not exist; the others are renewed
+    /// all the same.
     Renew {
-        /// The members.
+        /// The members' ids.
         ids: Vec<String>,
     },
-    /// Takes a member away.
+    /// Removes a member.
     Remove {
-        /// The member.
+        /// The member's id.
         id: String,
-        /// What there has to be before.
+        /// What has to be there before.
         #[serde(default)]
         expect: Expect,
     },
-    /// Lets leases of a pool run out that the guard against mass expiry holds.
+    /// Lets the overdue leases of a pool expire, also where the guard against mass expiry has stopped that.
     Expire {
         /// The pool.
         pool: String,
-        /// Who says so.
-        who: String,
-        /// Why.
-        why: String,
+        /// The operator who gave the command.
+        #[serde(rename = "who")]
+        operator: String,
+        /// Why it was given.
+        #[serde(rename = "why")]
+        reason: String,
     },
-    /// Words for the audit.
+    /// Events for the audit.
     Audit(Vec<audit::Event>),
 }
 
@@ -81,30 +85,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Proposal {
-    /// The same with each try at the same command; empty for one that may be applied twice.
+    /// The request id, the same for each retry of the command; empty for a command that may be applied twice.
     #[serde(default)]
     pub request: String,
     /// The command.
     pub command: Command,
 }
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It holds as of this revision.
+    /// The command was carried out.
     Done {
-        /// The list's revision after it.
+        /// The list's revision after the command.
         revision: Revision,
     },
-    /// The member is not as expected.
+    /// The member is not as the command expects.
     Conflict {
-        /// The revision of its last change, `None` where there is no such member.
+        /// The revision at which the member was last changed; `None` where there is no such member.
         found: Option<Revision>,
     },
-    /// It makes no sense, or there is no room: nothing changed.
+    /// The command is invalid, or there is no room for it: nothing changed.
     Refused {
-        /// What, where, and what was expected.
-        why: String,
+        /// What is wrong, where, and what was expected.
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,17 +1,17 @@
-//! The registry's replicated state machine: what one log makes of members, leases and the audit.
+//! The registry's replicated state machine: members, leases and the audit, as the entries of one log determine them.
 //!
-//! The guarantees, kept by [`State::apply`] at every replica alike:
+//! [`State::apply`] keeps these guarantees at every replica:
 //!
-//! 1. The `revision` is the index of the log entry that last changed a member: the same at every replica, and
-//!    never going back.
-//! 2. A request id that was applied is answered again with what came of it, for a stated time, and changes nothing.
-//! 3. A compare-and-set changes a member only where it is still as the caller saw it.
-//! 4. A lease runs in log time, which stands still while there is no leader. Where more of a pool would run out at
-//!    once than the configuration allows, the cause is taken for shared and nobody is taken off.
-//! 5. What changed after a revision is told whole: by the changes where they are still kept, by the full list
-//!    where they are not.
+//! 1. The `revision` is the index of the log entry that last changed a member. It is the same at every replica and
+//!    never decreases.
+//! 2. A request id that was applied before changes nothing and gets the same outcome again, for a configured time.
+//! 3. A compare-and-set changes a member only if the member is still as the caller expects.
+//! 4. A lease runs in log time, which stands still while there is no leader. Where more leases of a pool would
+//!    expire at once than the configuration allows, the cause is taken for a shared one and no member is removed.
+//! 5. A watch is told everything that changed after its revision: as changes where these are still kept, as the
+//!    whole list otherwise.
 //!
-//! Pure: no clock, no socket, no randomness.
+//! The state machine is deterministic: it reads no clock, opens no sockets and uses no randomness.
 
 mod changes;
 mod command;
@@ -19,7 +19,7 @@
 mod member;
 mod state;
 
-pub use changes::Since;
+pub use changes::ListUpdate;
 pub use command::{Command, Expect, Outcome, Proposal};
 pub use member::{Member, Phase, Role};
 pub use state::{Config, State};
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -1,81 +1,81 @@
-//! A member: an app server, or a node of the load balancer.
+//! Members: the app servers and the nodes of the load balancer.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Ms, Revision};
 
-/// What a member is.
+/// The role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// An app server: it stands on the list that nodes get.
+    /// An app server, which is on the list that nodes get.
     Server,
-    /// A node: the audit follows it.
+    /// A node of the load balancer, which the audit tracks.
     Node,
 }
 
-/// What discovery says of it, in the protocol's words.
+/// The phase of a member, as the discovery protocol names it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It takes what comes.
+    /// The member takes requests.
     #[default]
     InService,
-    /// It finishes what it has and wants nothing new.
+    /// The member finishes its requests and takes no new ones.
     Terminating,
 }
 
-/// A member as it registers itself.
+/// A member as it registers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its id, the same after a restart.
+    /// The member's id, the same after a restart.
     pub id: String,
-    /// What it is.
+    /// The member's role.
     pub role: Role,
-    /// Its pool.
+    /// The member's pool.
     pub pool: String,
-    /// Its zone.
+    /// The member's zone.
     #[serde(default)]
     pub zone: String,
-    /// Where it listens.
+    /// The address that the member listens on.
     pub host_port: String,
-    /// The kind of its machine.
+    /// The type of the machine.
     #[serde(default)]
     pub flavor: String,
-    /// Its cell.
+    /// The member's cell.
     #[serde(default)]
     pub cell: u64,
-    /// Its state.
+    /// The member's phase.
     #[serde(default)]
     pub phase: Phase,
-    /// Its weight against others.
-    #[serde(default = "one")]
+    /// The member's weight relative to other members.
+    #[serde(default = "default_size")]
     pub size: f64,
-    /// When its process last started, Unix time in milliseconds; 0 is long ago.
+    /// When the member's process last started, in Unix milliseconds; 0 stands for long ago.
     #[serde(default)]
     pub up_since_ms: u64,
-    /// Its process: each start has a greater one.
+    /// The incarnation of the member's process: each start has a greater one.
     #[serde(default)]
     pub incarnation: u64,
-    /// The version of its program.
+    /// The version of the member's program.
     #[serde(default)]
     pub program: String,
-    /// The version of its configuration.
+    /// The version of the member's configuration.
     #[serde(default)]
     pub config: String,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
-/// The longest text of a member's field.
-const LONGEST: usize = 256;
+/// The longest text that a field of a member may hold.
+const MAX_TEXT_BYTES: usize = 256;
 
 impl Member {
-    /// What is wrong with it, with the field and what was expected.
-    pub fn fault(&self) -> Option<String> {
+    /// Returns what is wrong with the first invalid field, with the field's name and what was expected.
+    pub fn validate(&self) -> Option<String> {
         let texts = [
             ("id", &self.id),
             ("pool", &self.pool),
@@ -86,8 +86,11 @@
             ("config", &self.config),
         ];
         for (name, text) in texts {
-            if text.len() > LONGEST {
-                return Some(format!("{name}: expected at most {LONGEST} bytes, found {}", text.len()));
+            if text.len() > MAX_TEXT_BYTES {
+                return Some(format!(
+                    "{name}: expected at most {MAX_TEXT_BYTES} bytes, found {}",
+                    text.len()
+                ));
             }
         }
         for (name, text) in [("id", &self.id), ("pool", &self.pool)] {
@@ -106,13 +109,16 @@
     }
 }
 
-/// A member as the state holds it.
+/// A registered member with its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Held {
+pub(crate) struct Registration {
     pub(crate) member: Member,
-    /// The revision of its last change.
+    /// The revision at which the member was last changed.
     pub(crate) revision: Revision,
-    /// How long it may be silent, and the log time of its last word; without one it stays until it is removed.
-    pub(crate) lease: Option<Ms>,
-    pub(crate) renewed: Ms,
+    /// The duration of the lease; without one the member stays until it is removed.
+    #[serde(rename = "lease")]
+    pub(crate) lease_ms: Option<Ms>,
+    /// The log time at which the lease was last renewed.
+    #[serde(rename = "renewed")]
+    pub(crate) renewed_at: Ms,
 }
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -1,4 +1,4 @@
-//! The state, and what a command does to it.
+//! The state of the registry, and how commands change it.
 
 use std::collections::BTreeMap;
 
@@ -6,198 +6,225 @@
 use serde::{Deserialize, Serialize};
 
 use crate::changes::{Change, Changes};
-use crate::member::Held;
+use crate::member::Registration;
 use crate::{Command, Expect, Member, Ms, Outcome, Proposal, Revision, Role};
 
-/// What the state goes by, the same at every replica.
+/// The configuration of the state machine, which is the same at every replica. Times are milliseconds of log time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Config {
     /// The pool whose servers `/api/targets` lists.
-    pub targets: String,
-    /// For how long a request id is remembered.
-    pub request_ms: Ms,
-    /// Most request ids that are remembered.
-    pub requests: usize,
-    /// Changes that are kept for watches that resume.
-    pub changes: usize,
-    /// Most members.
-    pub members: usize,
-    /// The most that one tick may count for.
-    pub longest_tick_ms: Ms,
-    /// The most of a pool's leases that may run out within `expire_ms`; one always may.
-    pub expire_part: f64,
-    /// The window of that.
-    pub expire_ms: Ms,
-    /// The audit's own.
+    #[serde(rename = "targets")]
+    pub targets_pool: String,
+    /// How long the outcome of a request id is remembered.
+    #[serde(rename = "request_ms")]
+    pub request_memory_ms: Ms,
+    /// How many request ids are remembered.
+    #[serde(rename = "requests")]
+    pub max_requests: usize,
+    /// How many changes are kept for watches that resume.
+    #[serde(rename = "changes")]
+    pub max_changes: usize,
+    /// How many members there can be.
+    #[serde(rename = "members")]
+    pub max_members: usize,
+    /// The most that one tick may advance log time.
+    #[serde(rename = "longest_tick_ms")]
+    pub max_tick_ms: Ms,
+    /// The largest part of a pool's leases that may expire within `expiry_window_ms`; one always may.
+    #[serde(rename = "expire_part")]
+    pub max_expired_part: f64,
+    /// The window for `max_expired_part`.
+    #[serde(rename = "expire_ms")]
+    pub expiry_window_ms: Ms,
+    /// The configuration of the audit.
     pub audit: audit::Config,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            targets: "app".to_owned(),
-            request_ms: 60_000,
-            requests: 100_000,
-            changes: 10_000,
-            members: 20_000,
-            longest_tick_ms: 2_000,
-            expire_part: 0.3,
-            expire_ms: 10_000,
+            targets_pool: "app".to_owned(),
+            request_memory_ms: 60_000,
+            max_requests: 100_000,
+            max_changes: 10_000,
+            max_members: 20_000,
+            max_tick_ms: 2_000,
+            max_expired_part: 0.3,
+            expiry_window_ms: 10_000,
             audit: audit::Config::default(),
         }
     }
 }
 
 impl Config {
-    /// What is wrong with it, with the key and what was expected.
-    pub fn faults(&self) -> Vec<String> {
-        let mut faults = self.audit.faults();
-        let mut expect = |good: bool, what: &str| faults.extend((!good).then(|| what.to_owned()));
-        expect(!self.targets.is_empty(), "targets: expected the name of a pool");
-        expect(self.requests > 0 && self.changes > 0, "requests, changes: expected 1 or more");
-        expect(self.members > 0, "members: expected 1 or more");
-        expect(self.longest_tick_ms > 0, "longest_tick_ms: expected more than 0");
-        expect((0.0..=1.0).contains(&self.expire_part), "expire_part: expected a part from 0 to 1");
-        faults
+    /// Returns one message for each invalid setting, with its key and the expected value.
+    pub fn validate(&self) -> Vec<String> {
+        let mut errors = self.audit.validate();
+        let mut require =
+            |is_valid: bool, message: &str| errors.extend((!is_valid).then(|| message.to_owned()));
+        require(!self.targets_pool.is_empty(), "targets: expected the name of a pool");
+        require(self.max_requests > 0 && self.max_changes > 0, "requests, changes: expected 1 or more");
+        require(self.max_members > 0, "members: expected 1 or more");
+        require(self.max_tick_ms > 0, "longest_tick_ms: expected more than 0");
+        require((0.0..=1.0).contains(&self.max_expired_part), "expire_part: expected a part from 0 to 1");
+        errors
     }
 }
 
-/// The whole state.
+/// The state of the registry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct State {
     pub(crate) config: Config,
     /// Log time.
     pub(crate) now: Ms,
-    /// The index of the last entry that was applied.
-    pub(crate) applied: u64,
+    /// The index of the last log entry that was applied.
+    #[serde(rename = "applied")]
+    pub(crate) applied_index: u64,
     pub(crate) revision: Revision,
-    pub(crate) members: BTreeMap<String, Held>,
+    pub(crate) members: BTreeMap<String, Registration>,
     pub(crate) changes: Changes,
-    pub(crate) requests: BTreeMap<String, (Outcome, Ms)>,
-    /// Pools in which the guard against mass expiry holds, and since when.
-    pub(crate) guarded: BTreeMap<String, Ms>,
-    /// Leases that ran out lately, and their pools.
-    pub(crate) expired: Vec<(Ms, String)>,
+    /// The outcomes of the latest request ids, and when they were applied.
+    #[serde(rename = "requests")]
+    pub(crate) request_outcomes: BTreeMap<String, (Outcome, Ms)>,
+    /// The pools in which the guard against mass expiry holds back leases, and since when.
+    #[serde(rename = "guarded")]
+    pub(crate) guarded_pools: BTreeMap<String, Ms>,
+    /// When leases expired lately, and in which pool.
+    #[serde(rename = "expired")]
+    pub(crate) recent_expiries: Vec<(Ms, String)>,
     pub(crate) audit: Audit,
-    /// Counts whatever an agent or front has to be told beside the list: the floor, admissions, the ladder.
-    pub(crate) directives: u64,
+    /// The log index at which the audit's directives (floor, admissions, escalation steps) may last have changed.
+    #[serde(rename = "directives")]
+    pub(crate) directives_version: u64,
 }
 
 impl State {
-    /// The state before the first entry.
+    /// Creates the state before the first log entry.
     pub fn new(config: Config) -> State {
         State {
             audit: Audit::new(config.audit.clone()),
             config,
             now: 0,
-            applied: 0,
+            applied_index: 0,
             revision: 0,
             members: BTreeMap::new(),
             changes: Changes::default(),
-            requests: BTreeMap::new(),
-            guarded: BTreeMap::new(),
-            expired: Vec::new(),
-            directives: 0,
+            request_outcomes: BTreeMap::new(),
+            guarded_pools: BTreeMap::new(),
+            recent_expiries: Vec::new(),
+            directives_version: 0,
         }
     }
 
-    /// Applies the entry at an index of the log. An entry that was applied before changes nothing.
+    /// Applies the log entry at `index`. An entry that was applied before changes nothing.
     pub fn apply(&mut self, index: u64, proposal: &Proposal) -> Outcome {
-        if index <= self.applied {
+        if index <= self.applied_index {
             return Outcome::Done { revision: self.revision };
         }
-        self.applied = index;
+        self.applied_index = index;
         if let Some((outcome, _)) =
-            self.requests.get(&proposal.request).filter(|_| !proposal.request.is_empty())
+            self.request_outcomes.get(&proposal.request).filter(|_| !proposal.request.is_empty())
         {
             return outcome.clone();
         }
-        let named = !proposal.request.is_empty();
-        // One that is carried out and not remembered would be carried out again when it is asked again.
-        if named && self.requests.len() >= self.config.requests {
-            let why =
-                format!("requests: {} ids are remembered and there is room for no more", self.requests.len());
-            return Outcome::Refused { why };
+        let has_request_id = !proposal.request.is_empty();
+        // A command whose id can't be remembered is refused: if it were carried out, a retry would carry it out again.
+        if has_request_id && self.request_outcomes.len() >= self.config.max_requests {
+            let reason = format!(
+                "requests: {} ids are remembered and there is room for no more",
+                self.request_outcomes.len()
+            );
+            return Outcome::Refused { reason };
         }
-        let verdicts = self.audit.history().newest();
-        let outcome = self.carry_out(index, &proposal.command);
-        if self.audit.history().newest() != verdicts {
-            self.directives = index;
+        let history_before = self.audit.history().newest_number();
+        let outcome = self.execute_command(index, &proposal.command);
+        if self.audit.history().newest_number() != history_before {
+            self.directives_version = index;
         }
-        if named {
-            self.requests.insert(proposal.request.clone(), (outcome.clone(), self.now));
+        if has_request_id {
+            self.request_outcomes.insert(proposal.request.clone(), (outcome.clone(), self.now));
         }
         outcome
     }
 
-    fn carry_out(&mut self, index: u64, command: &Command) -> Outcome {
+    fn execute_command(&mut self, index: u64, command: &Command) -> Outcome {
         match command {
-            Command::Nothing => {}
+            Command::Noop => {}
             Command::Tick { elapsed_ms, unix_ms } => {
-                let before = self.revision;
+                let revision_before = self.revision;
                 self.tick(index, *elapsed_ms);
-                if self.revision != before {
-                    self.commit(*unix_ms);
+                if self.revision != revision_before {
+                    self.commit_revision(*unix_ms);
                 }
                 self.audit.apply(self.now, &audit::Event::Tick);
             }
-            Command::Put { member, lease_ms, expect } => return self.put(index, member, *lease_ms, *expect),
+            Command::Put { member, lease_ms, expect } => {
+                return self.put_member(index, member, *lease_ms, *expect);
+            }
             Command::SetPhase { id, phase, expect } => {
-                let Some(held) = self.members.get(id) else { return Outcome::Conflict { found: None } };
-                let (member, lease) = (Member { phase: *phase, ..held.member.clone() }, held.lease);
-                return self.put(index, &member, lease, *expect);
+                let Some(registration) = self.members.get(id) else {
+                    return Outcome::Conflict { found: None };
+                };
+                let member = Member { phase: *phase, ..registration.member.clone() };
+                let lease_ms = registration.lease_ms;
+                return self.put_member(index, &member, lease_ms, *expect);
             }
             Command::Renew { ids } => {
-                let (now, mut missing) = (self.now, false);
+                let (now, mut is_any_missing) = (self.now, false);
                 for id in ids {
                     match self.members.get_mut(id) {
-                        Some(held) => held.renewed = now,
-                        None => missing = true,
+                        Some(registration) => registration.renewed_at = now,
+                        None => is_any_missing = true,
                     }
                 }
-                if missing {
+                if is_any_missing {
                     return Outcome::Conflict { found: None };
                 }
             }
             Command::Remove { id, expect } => {
-                if let Some(found) = self.other_than(id, *expect) {
+                if let Some(found) = self.find_conflict(id, *expect) {
                     return Outcome::Conflict { found };
                 }
-                if self.members.get(id).is_some_and(|held| held.member.role == Role::Node) {
-                    self.audit.apply(self.now, &audit::Event::Left { node: id.clone() });
+                let is_node =
+                    self.members.get(id).is_some_and(|registration| registration.member.role == Role::Node);
+                if is_node {
+                    self.audit.apply(self.now, &audit::Event::Removed { node: id.clone() });
                 }
-                if self.take_off(index, id) {
-                    self.commit(0);
+                if self.remove_member(index, id) {
+                    self.commit_revision(0);
                 }
             }
             Command::Expire { pool, .. } => {
                 let now = self.now;
-                let over = |held: &Held| held.lease.is_some_and(|lease| held.renewed + lease <= now);
-                let late: Vec<String> = self
+                let is_overdue = |registration: &Registration| {
+                    registration.lease_ms.is_some_and(|lease_ms| registration.renewed_at + lease_ms <= now)
+                };
+                let overdue: Vec<String> = self
                     .members
                     .iter()
-                    .filter(|(_, held)| held.member.pool == *pool && over(held))
+                    .filter(|(_, registration)| registration.member.pool == *pool && is_overdue(registration))
                     .map(|(id, _)| id.clone())
                     .collect();
-                late.iter().for_each(|id| self.expire(index, id));
-                self.guarded.remove(pool);
-                if !late.is_empty() {
-                    self.commit(0);
+                overdue.iter().for_each(|id| self.expire_lease(index, id));
+                self.guarded_pools.remove(pool);
+                if !overdue.is_empty() {
+                    self.commit_revision(0);
                 }
             }
             Command::Audit(events) => {
                 for event in events {
-                    // Only the state itself says what was committed and who is a member.
-                    let outside = matches!(
+                    // Commits, registrations and ticks are reported to the audit by the state machine itself. A
+                    // client can't forge them.
+                    let is_allowed = matches!(
                         event,
                         audit::Event::Reported(_)
-                            | audit::Event::Seen { .. }
-                            | audit::Event::Told { .. }
-                            | audit::Event::Drains { .. }
-                            | audit::Event::Word { .. }
+                            | audit::Event::Observed { .. }
+                            | audit::Event::ListForwarded { .. }
+                            | audit::Event::DrainChanged { .. }
+                            | audit::Event::Operator { .. }
                     );
-                    if outside {
+                    if is_allowed {
                         self.audit.apply(self.now, event);
                     }
                 }
@@ -206,33 +233,35 @@
         Outcome::Done { revision: self.revision }
     }
 
-    fn put(&mut self, index: u64, member: &Member, lease: Option<Ms>, expect: Expect) -> Outcome {
-        if let Some(why) = member.fault() {
-            return Outcome::Refused { why };
+    /// Registers a member, changes it, or renews its lease if nothing else has changed.
+    fn put_member(&mut self, index: u64, member: &Member, lease_ms: Option<Ms>, expect: Expect) -> Outcome {
+        if let Some(reason) = member.validate() {
+            return Outcome::Refused { reason };
         }
-        if let Some(found) = self.other_than(&member.id, expect) {
+        if let Some(found) = self.find_conflict(&member.id, expect) {
             return Outcome::Conflict { found };
         }
-        let new = !self.members.contains_key(&member.id);
-        if new && self.members.len() >= self.config.members {
-            let why = format!("members: there is room for {} and all of it is taken", self.config.members);
-            return Outcome::Refused { why };
+        let is_new = !self.members.contains_key(&member.id);
+        if is_new && self.members.len() >= self.config.max_members {
+            let reason =
+                format!("members: there is room for {} and all of it is taken", self.config.max_members);
+            return Outcome::Refused { reason };
         }
-        let same = self.members.get(&member.id).is_some_and(|held| held.member == *member);
-        let renewed = self.now;
-        if same {
-            // Nothing changed but that it is alive.
-            if let Some(held) = self.members.get_mut(&member.id) {
-                (held.lease, held.renewed) = (lease, renewed);
+        let is_unchanged =
+            self.members.get(&member.id).is_some_and(|registration| registration.member == *member);
+        let renewed_at = self.now;
+        if is_unchanged {
+            if let Some(registration) = self.members.get_mut(&member.id) {
+                (registration.lease_ms, registration.renewed_at) = (lease_ms, renewed_at);
             }
         } else {
-            let held = Held { member: member.clone(), revision: index, lease, renewed };
-            self.members.insert(member.id.clone(), held);
-            self.changed(index, member.clone(), false);
+            let registration = Registration { member: member.clone(), revision: index, lease_ms, renewed_at };
+            self.members.insert(member.id.clone(), registration);
+            self.record_change(index, member.clone(), false);
         }
         if member.role == Role::Node {
             let node = member.id.clone();
-            let drains = member.phase == crate::Phase::Terminating;
+            let is_draining = member.phase == crate::Phase::Terminating;
             let event = audit::Event::Joined {
                 node: node.clone(),
                 pool: member.pool.clone(),
@@ -242,38 +271,39 @@
                 config: member.config.clone(),
             };
             self.audit.apply(self.now, &event);
-            self.audit.apply(self.now, &audit::Event::Drains { node, drains });
+            self.audit.apply(self.now, &audit::Event::DrainChanged { node, is_draining });
         }
-        if !same {
-            self.commit(0);
+        if !is_unchanged {
+            self.commit_revision(0);
         }
         Outcome::Done { revision: self.revision }
     }
 
-    /// What there is, where it is not as expected.
-    fn other_than(&self, id: &str, expect: Expect) -> Option<Option<Revision>> {
-        let found = self.members.get(id).map(|held| held.revision);
-        let good = match expect {
+    /// Returns the revision of the member (`None` for no such member) if the member is not as expected.
+    fn find_conflict(&self, id: &str, expect: Expect) -> Option<Option<Revision>> {
+        let found = self.members.get(id).map(|registration| registration.revision);
+        let is_as_expected = match expect {
             Expect::Any => true,
             Expect::Absent => found.is_none(),
             Expect::Revision(revision) => found == Some(revision),
         };
-        (!good).then_some(found)
+        (!is_as_expected).then_some(found)
     }
 
-    pub(crate) fn take_off(&mut self, index: u64, id: &str) -> bool {
-        let Some(held) = self.members.remove(id) else { return false };
-        self.changed(index, held.member, true);
+    /// Removes a member and returns whether it existed.
+    pub(crate) fn remove_member(&mut self, index: u64, id: &str) -> bool {
+        let Some(registration) = self.members.remove(id) else { return false };
+        self.record_change(index, registration.member, true);
         true
     }
 
-    fn changed(&mut self, index: u64, member: Member, gone: bool) {
+    fn record_change(&mut self, index: u64, member: Member, is_removed: bool) {
         self.revision = index;
-        self.changes.push(Change { revision: index, member, gone }, self.config.changes);
+        self.changes.push(Change { revision: index, member, is_removed }, self.config.max_changes);
     }
 
-    /// Tells the audit of the new revision.
-    fn commit(&mut self, unix_ms: u64) {
+    /// Reports the new revision to the audit. `unix_ms` is 0 where the command carries no wall-clock time.
+    fn commit_revision(&mut self, unix_ms: u64) {
         let event = audit::Event::Committed { revision: self.revision, unix_ms };
         self.audit.apply(self.now, &event);
     }
@@ -283,9 +313,9 @@
         self.revision
     }
 
-    /// The index of the last entry that was applied.
-    pub fn applied(&self) -> u64 {
-        self.applied
+    /// The index of the last log entry that was applied.
+    pub fn applied_index(&self) -> u64 {
+        self.applied_index
     }
 
     /// Log time.
@@ -293,9 +323,9 @@
         self.now
     }
 
-    /// Changes whenever an agent or a front has something to be told beside the list.
-    pub fn directives(&self) -> u64 {
-        self.directives
+    /// A version that changes whenever the audit's directives (floor, admissions, escalation steps) may have changed.
+    pub fn directives_version(&self) -> u64 {
+        self.directives_version
     }
 
     /// The audit.
@@ -308,13 +338,13 @@
         &self.config
     }
 
-    /// The members, with the revision of each one's last change.
+    /// The members, each with the revision at which it was last changed.
     pub fn members(&self) -> impl Iterator<Item = (&Member, Revision)> {
-        self.members.values().map(|held| (&held.member, held.revision))
+        self.members.values().map(|registration| (&registration.member, registration.revision))
     }
 
-    /// A member, with the revision of its last change.
+    /// A member, with the revision at which it was last changed.
     pub fn member(&self, id: &str) -> Option<(&Member, Revision)> {
-        self.members.get(id).map(|held| (&held.member, held.revision))
+        self.members.get(id).map(|registration| (&registration.member, registration.revision))
     }
 }
--- a/crates/registry/tests/drawn.rs
+++ b/crates/registry/tests/drawn.rs
@@ -1,4 +1,4 @@
-//! The registry on drawn commands with fixed seeds, against a model that keeps only what is needed to check it.
+//! The registry's guarantees, checked on random commands with fixed seeds.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,22 @@
 const STEPS: u64 = 300;
 
 fn config() -> Config {
-    Config { changes: 20, requests: 400, members: 12, request_ms: 20_000, ..Config::default() }
+    Config {
+        max_changes: 20,
+        max_requests: 400,
+        max_members: 12,
+        request_memory_ms: 20_000,
+        ..Config::default()
+    }
 }
 
-fn member(rng: &mut ChaCha8Rng) -> Member {
+fn random_member(rng: &mut ChaCha8Rng) -> Member {
     let n: u32 = rng.random_range(0..16);
-    let text = plain(n, rng.random_range(0..3));
-    Member { size: f64::from(rng.random_range(1..4u32)), ..text }
+    let member = plain_member(n, rng.random_range(0..3));
+    Member { size: f64::from(rng.random_range(1..4u32)), ..member }
 }
 
-fn plain(n: u32, incarnation: u64) -> Member {
+fn plain_member(n: u32, incarnation: u64) -> Member {
     let role = if n < 10 { Role::Server } else { Role::Node };
     Member {
         id: format!("m{n}"),
@@ -38,7 +44,7 @@
     }
 }
 
-fn command(rng: &mut ChaCha8Rng, state: &State) -> Command {
+fn random_command(rng: &mut ChaCha8Rng, state: &State) -> Command {
     let id = format!("m{}", rng.random_range(0..16));
     let expect = match rng.random_range(0..4) {
         0 => Expect::Absent,
@@ -48,7 +54,7 @@
     match rng.random_range(0..10) {
         0..=3 => {
             let lease_ms = rng.random_bool(0.7).then_some(4_000);
-            Command::Put { member: member(rng), lease_ms, expect }
+            Command::Put { member: random_member(rng), lease_ms, expect }
         }
         4 => Command::SetPhase { id, phase: Phase::Terminating, expect },
         5 => Command::Remove { id, expect },
@@ -59,113 +65,121 @@
     }
 }
 
-/// A watcher that is told changes from where it is.
+/// A client that keeps its list up to date by the updates since its revision.
 #[derive(Default)]
 struct Watcher {
-    has: Revision,
+    revision: Revision,
     list: BTreeMap<String, Member>,
 }
 
 impl Watcher {
-    fn look(&mut self, state: &State) {
-        match state.since(self.has, Role::Server, "app") {
-            Since::Whole(members) => {
+    fn update(&mut self, state: &State) {
+        match state.updates_since(self.revision, Role::Server, "app") {
+            ListUpdate::Full(members) => {
                 self.list = members.into_iter().map(|member| (member.id.clone(), member)).collect();
             }
-            Since::Changes(changes) => {
-                for (member, gone) in changes {
-                    if gone {
+            ListUpdate::Changes(changes) => {
+                for (member, is_removed) in changes {
+                    if is_removed {
                         self.list.remove(&member.id);
                     } else {
                         self.list.insert(member.id.clone(), member);
                     }
                 }
             }
-            Since::Ahead => panic!("ahead at {} of {}", self.has, state.revision()),
+            ListUpdate::Ahead => {
+                panic!("the watcher at {} is ahead of {}", self.revision, state.revision())
+            }
         }
-        self.has = state.revision();
+        self.revision = state.revision();
     }
 }
 
 fn servers(state: &State) -> BTreeMap<String, Member> {
-    let all = state.members().map(|(member, _)| member);
-    all.filter(|member| member.role == Role::Server)
+    let members = state.members().map(|(member, _)| member);
+    members
+        .filter(|member| member.role == Role::Server)
         .map(|member| (member.id.clone(), member.clone()))
         .collect()
 }
 
 #[test]
-fn revisions_rise_watches_resume_and_request_ids_are_remembered() {
+fn revisions_increase_watches_resume_and_request_ids_are_remembered() {
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut state, mut other) = (State::new(config()), State::new(config()));
         let mut watchers: Vec<Watcher> = (0..4).map(|_| Watcher::default()).collect();
         let mut sent: Vec<(Proposal, Outcome)> = Vec::new();
         for index in 1..=STEPS {
-            let again = rng.random_bool(0.1) && !sent.is_empty();
+            let is_retry = rng.random_bool(0.1) && !sent.is_empty();
             let (revision, before) = (state.revision(), servers(&state));
-            let proposal = match again {
+            let proposal = match is_retry {
                 true => sent[sent.len() - 1].0.clone(),
-                false => Proposal { request: format!("q{seed}-{index}"), command: command(&mut rng, &state) },
+                false => Proposal {
+                    request: format!("q{seed}-{index}"),
+                    command: random_command(&mut rng, &state),
+                },
             };
             let outcome = state.apply(index, &proposal);
-            assert_eq!(other.apply(index, &proposal), outcome, "replicas differ at {index} of {seed}");
-            if again {
-                assert_eq!(outcome, sent[sent.len() - 1].1, "{seed}: {proposal:?} was answered anew");
+            assert_eq!(other.apply(index, &proposal), outcome, "seed {seed}: replicas differ at {index}");
+            if is_retry {
+                let first_outcome = &sent[sent.len() - 1].1;
+                assert_eq!(&outcome, first_outcome, "seed {seed}: another outcome for {proposal:?}");
                 assert_eq!((state.revision(), servers(&state)), (revision, before));
             } else {
                 if let (Command::Put { expect: Expect::Absent, member, .. }, Outcome::Done { .. }) =
                     (&proposal.command, &outcome)
                 {
-                    assert!(!before.contains_key(&member.id), "{seed}: made what was there");
+                    assert!(!before.contains_key(&member.id), "seed {seed}: the member was not absent");
                 }
                 if !matches!(outcome, Outcome::Done { .. }) {
                     assert_eq!(
                         (state.revision(), servers(&state)),
                         (revision, before),
-                        "{seed}: {outcome:?} changed"
+                        "seed {seed}: {outcome:?} changed the members"
                     );
                 } else {
-                    assert!(state.revision() == revision || state.revision() == index, "{seed}");
+                    assert!(state.revision() == revision || state.revision() == index, "seed {seed}");
                 }
                 sent.push((proposal, outcome));
             }
-            // An entry that was applied changes nothing when it comes again.
-            let now = (state.revision(), state.now());
+            // An entry that was applied before changes nothing when it is applied again.
+            let applied = (state.revision(), state.now());
             state.apply(index, &sent[0].0);
-            assert_eq!((state.revision(), state.now()), now);
+            assert_eq!((state.revision(), state.now()), applied);
             for watcher in &mut watchers {
                 if rng.random_bool(0.1) {
-                    watcher.look(&state);
+                    watcher.update(&state);
                     assert_eq!(
                         watcher.list,
                         servers(&state),
-                        "{seed}: a watch from {} lost or doubled",
-                        watcher.has
+                        "seed {seed}: wrong list after an update to {}",
+                        watcher.revision
                     );
                 }
             }
             assert!(state.members().count() <= 12);
         }
-        let ahead = state.since(state.revision() + 1, Role::Server, "app");
-        assert_eq!(ahead, Since::Ahead);
+        let update = state.updates_since(state.revision() + 1, Role::Server, "app");
+        assert_eq!(update, ListUpdate::Ahead);
     }
 }
 
-/// Registers so many servers with leases, then lets time pass in which only some of them are heard of.
-fn silence(all: u32, heard: u32) -> (State, usize) {
-    let mut state = State::new(Config { members: 100, ..config() });
+/// Registers `total` servers with leases, then advances time while only `renewing` of them renew their leases.
+/// Returns the state and how many members are left.
+fn run_with_silent_members(total: u32, renewing: u32) -> (State, usize) {
+    let mut state = State::new(Config { max_members: 100, ..config() });
     let mut index = 0;
     let mut apply = |state: &mut State, command| {
         index += 1;
         state.apply(index, &Proposal { request: String::new(), command })
     };
-    for n in 0..all {
-        let member = Member { id: format!("m{n}"), role: Role::Server, ..plain(0, 0) };
+    for n in 0..total {
+        let member = Member { id: format!("m{n}"), role: Role::Server, ..plain_member(0, 0) };
         apply(&mut state, Command::Put { member, lease_ms: Some(4_000), expect: Expect::Any });
     }
     for _ in 0..20 {
-        let ids = (0..heard).map(|n| format!("m{n}")).collect();
+        let ids = (0..renewing).map(|n| format!("m{n}")).collect();
         apply(&mut state, Command::Renew { ids });
         apply(&mut state, Command::Tick { elapsed_ms: 1_000, unix_ms: 0 });
     }
@@ -174,29 +188,31 @@
 }
 
 #[test]
-fn a_few_leases_run_out_and_many_at_once_are_held() {
-    assert_eq!(silence(10, 9).1, 9);
-    assert_eq!(silence(10, 7).1, 7);
-    let (mut state, left) = silence(10, 5);
-    assert_eq!((left, state.guarded().len()), (10, 1));
-    let index = state.applied() + 1;
-    let command = Command::Expire { pool: "app".into(), who: "operator".into(), why: "they are gone".into() };
+fn a_few_leases_expire_but_many_at_once_are_guarded() {
+    assert_eq!(run_with_silent_members(10, 9).1, 9);
+    assert_eq!(run_with_silent_members(10, 7).1, 7);
+    let (mut state, left) = run_with_silent_members(10, 5);
+    assert_eq!((left, state.guarded_pools().len()), (10, 1));
+    let index = state.applied_index() + 1;
+    let (operator, reason) = ("operator".into(), "they are gone".into());
+    let command = Command::Expire { pool: "app".into(), operator, reason };
     state.apply(index, &Proposal { request: String::new(), command });
-    assert_eq!((state.members().count(), state.guarded().len(), state.revision()), (5, 0, index));
+    assert_eq!((state.members().count(), state.guarded_pools().len(), state.revision()), (5, 0, index));
 }
 
 #[test]
-fn without_room_for_its_id_a_command_is_refused_and_not_carried_out() {
-    let mut state = State::new(Config { requests: 3, ..config() });
+fn a_command_whose_request_id_cannot_be_remembered_is_refused() {
+    let mut state = State::new(Config { max_requests: 3, ..config() });
     let put = |state: &mut State, index: u64| {
-        let command = Command::Put { member: plain(index as u32, 0), lease_ms: None, expect: Expect::Any };
+        let member = plain_member(index as u32, 0);
+        let command = Command::Put { member, lease_ms: None, expect: Expect::Any };
         state.apply(index, &Proposal { request: format!("q{index}"), command })
     };
     (1..=3).for_each(|index| assert!(matches!(put(&mut state, index), Outcome::Done { .. })));
     let refused = put(&mut state, 4);
-    assert!(matches!(&refused, Outcome::Refused { why } if why.contains("3 ids")), "{refused:?}");
+    assert!(matches!(&refused, Outcome::Refused { reason } if reason.contains("3 ids")), "{refused:?}");
     assert_eq!(state.revision(), 3);
-    // Ids are forgotten after their time.
+    // Request ids are forgotten after `request_memory_ms`.
     for index in 5..=15 {
         let command = Command::Tick { elapsed_ms: 2_000, unix_ms: 0 };
         state.apply(index, &Proposal { request: String::new(), command });
@@ -205,27 +221,28 @@
 }
 
 #[test]
-fn a_leader_that_slept_does_not_take_its_sleep_for_silence() {
-    let (mut state, _) = silence(4, 4);
-    let index = state.applied() + 1;
+fn a_tick_of_a_suspended_leader_expires_no_leases() {
+    let (mut state, _) = run_with_silent_members(4, 4);
+    let index = state.applied_index() + 1;
     let command = Command::Tick { elapsed_ms: 3_600_000, unix_ms: 0 };
     state.apply(index, &Proposal { request: String::new(), command });
     assert_eq!(state.members().count(), 4);
 }
 
 #[test]
-fn a_member_that_makes_no_sense_is_refused_with_its_place() {
+fn an_invalid_member_is_refused_with_the_name_of_the_field() {
     let mut state = State::new(config());
-    let bad = [
-        (Member { host_port: "nowhere".into(), ..plain(1, 0) }, "host_port: expected an address"),
-        (Member { id: String::new(), ..plain(1, 0) }, "id: expected a name"),
-        (Member { size: -1.0, ..plain(1, 0) }, "size: expected a number above 0"),
-        (Member { zone: "z".repeat(300), ..plain(1, 0) }, "zone: expected at most 256 bytes"),
+    let invalid = [
+        (Member { host_port: "nowhere".into(), ..plain_member(1, 0) }, "host_port: expected an address"),
+        (Member { id: String::new(), ..plain_member(1, 0) }, "id: expected a name"),
+        (Member { size: -1.0, ..plain_member(1, 0) }, "size: expected a number above 0"),
+        (Member { zone: "z".repeat(300), ..plain_member(1, 0) }, "zone: expected at most 256 bytes"),
     ];
-    for (index, (member, said)) in (1..).zip(bad) {
+    for (index, (member, message)) in (1..).zip(invalid) {
         let command = Command::Put { member, lease_ms: None, expect: Expect::Any };
         let outcome = state.apply(index, &Proposal { request: String::new(), command });
-        assert!(matches!(&outcome, Outcome::Refused { why } if why.contains(said)), "{outcome:?}");
+        let is_refused = matches!(&outcome, Outcome::Refused { reason } if reason.contains(message));
+        assert!(is_refused, "{outcome:?}");
         assert_eq!(state.revision(), 0);
     }
 }
--- a/crates/replica/src/api.rs
+++ b/crates/replica/src/api.rs
@@ -8,7 +8,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use registry::{Outcome, Proposal, Role, Since};
+use registry::{ListUpdate, Outcome, Proposal, Role};
 use serde::Deserialize;
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
@@ -82,7 +82,7 @@
     async fn open(&self, kind: Kind, asked: Watch) -> Response {
         let (tx, rx) = mpsc::channel(LINES);
         let (opened, word) = oneshot::channel();
-        let pool = asked.pool.unwrap_or_else(|| self.config.state.targets.clone());
+        let pool = asked.pool.unwrap_or_else(|| self.config.state.targets_pool.clone());
         let feed = Feed {
             kind,
             pool,
@@ -120,9 +120,9 @@
     if asked.stream == Some(1) {
         return api.open(Kind::Targets, asked).await;
     }
-    let pool = asked.pool.unwrap_or_else(|| api.config.state.targets.clone());
+    let pool = asked.pool.unwrap_or_else(|| api.config.state.targets_pool.clone());
     api.answer(move |view| {
-        let Since::Whole(members) = view.state.since(0, Role::Server, &pool) else { return None };
+        let ListUpdate::Full(members) = view.state.updates_since(0, Role::Server, &pool) else { return None };
         let members: Vec<Value> = members.iter().map(|member| target(member, false)).collect();
         Some(json!({"revision": view.state.revision(), "complete": true, "members": members}))
     })
@@ -138,7 +138,7 @@
         Ok(proposal) => proposal,
         Err(error) => return fault(StatusCode::BAD_REQUEST, &format!("the command: {error}"), json!({})),
     };
-    let ours = matches!(proposal.command, registry::Command::Tick { .. } | registry::Command::Nothing);
+    let ours = matches!(proposal.command, registry::Command::Tick { .. } | registry::Command::Noop);
     if ours {
         return fault(StatusCode::BAD_REQUEST, "the command: only a leader writes this one", json!({}));
     }
@@ -179,8 +179,8 @@
     api.answer(|view| {
         Some(json!({
             "id": view.id, "leader": view.leader, "leads": view.leads, "term": view.term,
-            "applied": view.state.applied(), "revision": view.state.revision(), "clock": view.state.now(),
-            "guarded": view.state.guarded(),
+            "applied": view.state.applied_index(), "revision": view.state.revision(), "clock": view.state.now(),
+            "guarded": view.state.guarded_pools(),
         }))
     })
     .await
@@ -200,7 +200,7 @@
         let audit = view.state.audit();
         Some(json!({
             "clock": audit.now(), "revision": view.state.revision(), "floor": audit.floor(),
-            "halted": audit.halted(), "shared": audit.shared(), "nodes": audit.nodes(),
+            "halted": audit.halted_revision(), "shared": audit.shared_causes(), "nodes": audit.nodes(),
         }))
     })
     .await
@@ -208,8 +208,8 @@
 
 async fn revisions(Shared(api): Shared<Api>) -> Response {
     api.answer(|view| {
-        let (kept, forgotten) = view.state.audit().kept();
-        let spread = kept.iter().filter_map(|&revision| view.state.audit().spread(revision));
+        let (kept, forgotten) = view.state.audit().list_kept_revisions();
+        let spread = kept.iter().filter_map(|&revision| view.state.audit().propagation(revision));
         Some(json!({"forgotten": forgotten, "revisions": spread.collect::<Vec<_>>()}))
     })
     .await
@@ -217,7 +217,8 @@
 
 async fn revision(Shared(api): Shared<Api>, Path(revision): Path<u64>) -> Response {
     api.answer(move |view| {
-        let (spread, acted) = (view.state.audit().spread(revision)?, view.state.audit().who_acted(revision)?);
+        let (spread, acted) =
+            (view.state.audit().propagation(revision)?, view.state.audit().list_activity(revision)?);
         Some(json!({"spread": spread, "acted": acted}))
     })
     .await
@@ -225,14 +226,14 @@
 
 async fn in_use(Shared(api): Shared<Api>, Path(clock): Path<u64>) -> Response {
     api.answer(move |view| {
-        Some(json!({"clock": clock.min(view.state.now()), "in_use": view.state.audit().in_use(clock)}))
+        Some(json!({"clock": clock.min(view.state.now()), "in_use": view.state.audit().list_revisions_in_use(clock)}))
     })
     .await
 }
 
 async fn after_drain(Shared(api): Shared<Api>, Path(server): Path<String>) -> Response {
     api.answer(move |view| {
-        let (requests, more) = view.state.audit().after_drain(&server);
+        let (requests, more) = view.state.audit().list_requests_after_drain(&server);
         Some(json!({"server": server, "requests": requests, "more_of_all_servers": more}))
     })
     .await
@@ -247,8 +248,9 @@
 async fn history(Shared(api): Shared<Api>, Query(asked): Query<From>) -> Response {
     api.answer(move |view| {
         let history = view.state.audit().history();
-        let lines = history.from(asked.from.unwrap_or(0)).take(asked.most.unwrap_or(1_000).min(10_000));
-        let (number, hash) = history.dropped();
+        let lines =
+            history.entries_from(asked.from.unwrap_or(0)).take(asked.most.unwrap_or(1_000).min(10_000));
+        let (number, hash) = history.last_dropped();
         Some(json!({"dropped": {"number": number, "hash": hash}, "lines": lines.collect::<Vec<_>>()}))
     })
     .await
--- a/crates/replica/src/config.rs
+++ b/crates/replica/src/config.rs
@@ -95,7 +95,7 @@
     /// What is wrong with it, each with its key and what was expected.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> =
-            self.state.faults().iter().map(|fault| format!("state.{fault}")).collect();
+            self.state.validate().iter().map(|fault| format!("state.{fault}")).collect();
         let mut expect = |good: bool, what: String| faults.extend((!good).then_some(what));
         expect(self.id > 0, "id: expected 1 or more, found 0".to_owned());
         let own = self.peers.iter().any(|peer| peer.id == self.id);
@@ -113,7 +113,7 @@
             "election_ticks: expected at least twice heartbeat_ticks, and that 1 or more".to_owned(),
         );
         expect(self.tick_ms > 0 && self.clock_ms > 0, "tick_ms, clock_ms: expected more than 0".to_owned());
-        let clock = self.clock_ms <= self.state.longest_tick_ms;
+        let clock = self.clock_ms <= self.state.max_tick_ms;
         expect(clock, "clock_ms: expected no more than state.longest_tick_ms".to_owned());
         let bounds = self.queue > 0 && self.pending > 0 && self.watches > 0 && self.snapshot_every > 0;
         expect(bounds, "queue, pending, watches, snapshot_every: expected 1 or more".to_owned());
--- a/crates/replica/src/feed.rs
+++ b/crates/replica/src/feed.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use audit::{Admission, Step};
+use audit::{Admission, EscalationStep};
 use bytes::Bytes;
-use registry::{Member, Revision, Role, Since, State};
+use registry::{ListUpdate, Member, Revision, Role, State};
 use serde::Serialize;
 use serde_json::{json, Value};
 use tokio::sync::{mpsc, oneshot};
@@ -73,7 +73,7 @@
 
 #[derive(Serialize)]
 struct Directive {
-    step: Step,
+    step: EscalationStep,
     step_at: u64,
     admission: Admission,
     /// The part of its share that it may get.
@@ -127,18 +127,18 @@
     /// Whether the watch goes on. One that does not take what it is told is closed: it asks again elsewhere.
     fn tell(&mut self, state: &State, first: bool) -> bool {
         let changed = state.revision() != self.sent;
-        let directed = self.kind == Kind::Agent && (first || state.directives() != self.directives);
+        let directed = self.kind == Kind::Agent && (first || state.directives_version() != self.directives);
         let timed = self.kind == Kind::Agent && state.now() != self.clock;
         if !(first || changed || directed || timed) {
             return true;
         }
-        let (complete, members) = match state.since(self.sent, Role::Server, &self.pool) {
-            Since::Whole(members) => (true, members.iter().map(|member| target(member, false)).collect()),
-            Since::Changes(changes) => {
+        let (complete, members) = match state.updates_since(self.sent, Role::Server, &self.pool) {
+            ListUpdate::Full(members) => (true, members.iter().map(|member| target(member, false)).collect()),
+            ListUpdate::Changes(changes) => {
                 (false, changes.iter().map(|(member, gone)| target(member, *gone)).collect())
             }
             // A snapshot never takes a state back; a watch that is ahead was not opened.
-            Since::Ahead => return false,
+            ListUpdate::Ahead => return false,
         };
         let line = Line {
             revision: state.revision(),
@@ -147,7 +147,7 @@
             members,
             directives: directed.then(|| directives(state)),
         };
-        (self.sent, self.directives, self.clock) = (line.revision, state.directives(), line.clock);
+        (self.sent, self.directives, self.clock) = (line.revision, state.directives_version(), line.clock);
         let text = match self.kind {
             Kind::Agent => serde_json::to_vec(&line),
             Kind::Targets => {
@@ -182,15 +182,15 @@
         .audit()
         .nodes()
         .iter()
-        .filter(|(_, node)| node.step != Step::Fine || node.admission != Admission::Full);
+        .filter(|(_, node)| node.step != EscalationStep::Normal || node.admission != Admission::Full);
     let directive = |node: &audit::Node| Directive {
         step: node.step,
-        step_at: node.step_at,
+        step_at: node.step_since,
         admission: node.admission,
         part: match node.admission {
             Admission::Full => 1.0,
-            Admission::Part => config.probation_part,
-            Admission::Out => 0.0,
+            Admission::Probation => config.probation_part,
+            Admission::ShutOut => 0.0,
         },
     };
     Directives {
--- a/crates/replica/src/log.rs
+++ b/crates/replica/src/log.rs
@@ -6,7 +6,7 @@
 
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
-use store::Found;
+use store::StoredState;
 
 use crate::wire;
 
@@ -33,9 +33,10 @@
 }
 
 impl Log {
-    pub fn new(found: Found, voters: Vec<u64>) -> Log {
+    pub fn new(found: StoredState, voters: Vec<u64>) -> Log {
         let mut hard = HardState::default();
-        (hard.term, hard.vote, hard.commit) = (found.hard.term, found.hard.vote, found.hard.commit);
+        (hard.term, hard.vote, hard.commit) =
+            (found.hard_state.term, found.hard_state.vote, found.hard_state.commit);
         let snapshot = found.snapshot.map(wire::raft_snapshot).unwrap_or_default();
         let conf = ConfState { voters, ..ConfState::default() };
         let entries = found.entries.into_iter().map(wire::raft_entry).collect();
--- a/crates/replica/src/raftloop.rs
+++ b/crates/replica/src/raftloop.rs
@@ -8,7 +8,7 @@
 use raft::eraftpb::{Entry, Message as RaftMessage};
 use raft::{RawNode, SnapshotStatus, StateRole};
 use registry::{Command, Outcome, Proposal, State};
-use store::{Batch, Found, HardState};
+use store::{Batch, HardState, StoredState};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::Config;
@@ -88,7 +88,12 @@
 }
 
 impl Replica {
-    pub fn new(config: Config, found: Found, links: Links, disk: SyncSender<Job>) -> anyhow::Result<Replica> {
+    pub fn new(
+        config: Config,
+        found: StoredState,
+        links: Links,
+        disk: SyncSender<Job>,
+    ) -> anyhow::Result<Replica> {
         let mut voters: Vec<u64> = config.peers.iter().map(|peer| peer.id).chain([config.id]).collect();
         voters.sort_unstable();
         let (state, applied) = match &found.snapshot {
@@ -250,11 +255,11 @@
             batch.entries = ready.entries().iter().map(wire::entry).collect();
             if let Some(hard) = ready.hs() {
                 self.log.set_hard(hard);
-                batch.hard = Some(HardState { term: hard.term, vote: hard.vote, commit: hard.commit });
+                batch.hard_state = Some(HardState { term: hard.term, vote: hard.vote, commit: hard.commit });
             }
             let (number, after) = (ready.number(), ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
-            let nothing = batch.entries.is_empty() && batch.hard.is_none() && batch.snapshot.is_none();
+            let nothing = batch.entries.is_empty() && batch.hard_state.is_none() && batch.snapshot.is_none();
             let at_once = nothing && self.waiting.is_empty();
             self.waiting.push_back((number, after));
             if !at_once {
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,37 +1,42 @@
-//! A record: its form's version, a checksum over its place and its bytes, its bytes.
+//! The format of a stored record: a version byte, a checksum over the record's key and content, and the content.
 
 use serde::{Deserialize, Serialize};
 
 const VERSION: u8 = 1;
-const HEAD: usize = 5;
+/// The version byte and the checksum.
+const HEADER_BYTES: usize = 5;
 
-/// A record's text. `place` is its key: a record that stands in another's place does not pass.
-pub fn write(place: &str, value: &impl Serialize) -> Vec<u8> {
-    // Plain data into memory: this can't fail. An empty one would be read as damaged.
-    let bytes = postcard::to_stdvec(value).unwrap_or_default();
-    let mut text = Vec::with_capacity(HEAD + bytes.len());
-    text.push(VERSION);
-    text.extend(sum(place, &bytes).to_le_bytes());
-    text.extend(bytes);
-    text
+/// Encodes a record. The checksum covers the record's key, so that a record stored under another key is detected.
+pub fn encode(key: &str, value: &impl Serialize) -> Vec<u8> {
+    // Encoding plain data into memory can't fail; a record with empty content would be read as damaged.
+    let content = postcard::to_stdvec(value).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + content.len());
+    bytes.push(VERSION);
+    bytes.extend(checksum(key, &content).to_le_bytes());
+    bytes.extend(content);
+    bytes
 }
 
-/// What a record holds, or what is wrong with it.
-pub fn read<T: for<'a> Deserialize<'a>>(place: &str, text: &[u8]) -> Result<T, &'static str> {
-    let Some((head, bytes)) = text.split_at_checked(HEAD) else { return Err("it is cut off") };
-    if head[0] != VERSION {
+/// Decodes a record that is stored under `key`.
+///
+/// # Errors
+///
+/// What is wrong with the record.
+pub fn decode<T: for<'a> Deserialize<'a>>(key: &str, bytes: &[u8]) -> Result<T, &'static str> {
+    let Some((header, content)) = bytes.split_at_checked(HEADER_BYTES) else { return Err("it is cut off") };
+    if header[0] != VERSION {
         return Err("its form is of another version");
     }
-    if head[1..] != sum(place, bytes).to_le_bytes() {
+    if header[1..] != checksum(key, content).to_le_bytes() {
         return Err("its checksum does not fit");
     }
-    postcard::from_bytes(bytes).map_err(|_| "it can't be read, though its checksum fits")
+    postcard::from_bytes(content).map_err(|_| "it can't be read, though its checksum fits")
 }
 
-fn sum(place: &str, bytes: &[u8]) -> u32 {
+fn checksum(key: &str, content: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[VERSION]);
-    hasher.update(place.as_bytes());
-    hasher.update(bytes);
+    hasher.update(key.as_bytes());
+    hasher.update(content);
     hasher.finalize()
 }
