--- a/tests/node/leaving.rs
+++ b/tests/node/disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that leave: nothing of what they asked for goes out later, whatever lies in front of their close.
+//! Clients that disconnect: none of their requests is sent to a server afterwards, whatever they sent before
+//! the close.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -6,23 +7,24 @@
 
 use crate::site::*;
 
-/// What is left of a client's connection once it has left.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Closes,
-    Resets,
-    /// It ends its sending and would read on.
-    HalfCloses,
+enum Disconnect {
+    Close,
+    Reset,
+    /// The client shuts down its sending side and could still read.
+    HalfClose,
 }
 
-fn leave(stream: TcpStream, how: Leaves) -> Option<TcpStream> {
+/// Disconnects; a half-closed socket is returned so that it stays open.
+fn disconnect(stream: TcpStream, how: Disconnect) -> Option<TcpStream> {
     match how {
-        Leaves::Closes => drop(stream),
-        Leaves::Resets => {
+        Disconnect::Close => drop(stream),
+        Disconnect::Reset => {
             reset(&stream);
             drop(stream);
         }
-        Leaves::HalfCloses => {
+        Disconnect::HalfClose => {
             stream.shutdown(Shutdown::Write).unwrap();
             return Some(stream);
         }
@@ -30,8 +32,9 @@
     None
 }
 
-/// Reads what servers report until as many of their connections have closed; the requests among it.
-fn until_closed(site: &Site, connections: usize) -> Vec<String> {
+/// Waits until this many server connections have closed; returns the ids of the requests that arrived
+/// meanwhile.
+fn wait_until_closed(site: &Site, connections: usize) -> Vec<String> {
     let (mut closed, mut requests) = (0, Vec::new());
     let start = Instant::now();
     while closed < connections {
@@ -45,11 +48,11 @@
     requests
 }
 
-// The library looks for a close only while its own buffer is empty: with a byte of a next request in it, an
-// open one used to be kept, sent and sent again until its deadline.
+// hyper checks for a close only while its own buffer is empty. With a byte of a further request in the
+// buffer, the node once kept an open request whose client had disconnected and retried it until its deadline.
 #[test]
-fn a_close_is_noticed_behind_what_a_client_sent_ahead() {
-    for how in [Leaves::Closes, Leaves::Resets, Leaves::HalfCloses] {
+fn a_close_behind_further_requests_is_noticed() {
+    for how in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
         for ahead in [0, 1, 300] {
             let site = Site::new(1);
             site.all_do(Does::Hang);
@@ -59,15 +62,16 @@
             for n in 0..ahead {
                 stream.write_all(&request("look", &format!("ahead{n}"), 60_000)).unwrap();
             }
-            let _rest = leave(stream, how);
-            assert_eq!(until_closed(&site, 1), [""; 0], "{how:?} behind {ahead}");
+            let _half_closed = disconnect(stream, how);
+            assert_eq!(wait_until_closed(&site, 1), [""; 0], "{how:?} behind {ahead}");
         }
     }
 }
 
-// More than the node keeps ahead of an answer ends the connection with that answer, and not a byte of it is lost.
+// A client that sends more behind an open request than the node reads ahead gets the complete response, and
+// then the connection is closed.
 #[test]
-fn who_sends_without_end_behind_a_request_gets_its_answer_and_no_more() {
+fn a_client_that_floods_behind_a_request_gets_its_response_and_no_more() {
     use std::io::Read;
     let site = Site::new(1);
     site.all_do(Does::Hold);
@@ -76,18 +80,19 @@
     assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
     (0..3_000).for_each(|n| stream.write_all(&request("look", &format!("ahead{n}"), 60_000)).unwrap());
     site.all_do(Does::Serve);
-    let mut all = String::new();
-    stream.read_to_string(&mut all).expect("an orderly end");
-    assert!(all.starts_with("HTTP/1.1 200 OK\r\n") && all.ends_with("\r\n\r\nfirst"), "{all}");
-    assert!(all.to_lowercase().contains("connection: close"), "{all}");
+    let mut received = String::new();
+    stream.read_to_string(&mut received).expect("an orderly close");
+    assert!(received.starts_with("HTTP/1.1 200 OK\r\n") && received.ends_with("\r\n\r\nfirst"), "{received}");
+    assert!(received.to_lowercase().contains("connection: close"), "{received}");
     assert!(site.requests().is_empty());
 }
 
+// Each disconnect must end its attempt, also when 200 clients disconnect at the same time.
 #[test]
-fn hundreds_that_leave_at_once_end_their_attempts() {
+fn attempts_of_many_clients_that_disconnect_at_once_end() {
     let site = Site::with(1, serde_json::json!({"sockets": 900}));
     site.all_do(Does::Hang);
-    let held: Vec<TcpStream> = (0..200)
+    let clients: Vec<TcpStream> = (0..200)
         .map(|n| {
             let mut stream = site.dial();
             stream.write_all(&request("look", &format!("{n}"), 60_000)).unwrap();
@@ -95,40 +100,40 @@
             stream
         })
         .collect();
-    drop(held);
-    assert!(until_closed(&site, 200).is_empty());
+    drop(clients);
+    assert!(wait_until_closed(&site, 200).is_empty());
 }
 
-// A request whose client has left by the time that it is read never reaches a server.
+// A request whose client has disconnected before the node reads the request reaches no server.
 #[test]
-fn a_request_that_waits_for_the_node_goes_nowhere_once_its_client_has_left() {
+fn an_unread_request_of_a_disconnected_client_is_not_sent() {
     let site = Site::new(2);
-    for how in [Leaves::Closes, Leaves::Resets, Leaves::HalfCloses] {
+    for how in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
         for round in 0..4 {
-            // Connections to the servers rest, so nothing but the node's own order holds an attempt back.
+            // Open idle connections to the servers, so that a wrong attempt would be written without delay.
             for n in 0..4 {
                 assert_eq!(site.ask("look", &format!("{how:?}{round}{n}")).status(), 200);
             }
             site.requests();
-            let _rest = site.stopped(|| {
+            let _half_closed = site.stopped(|| {
                 let streams = (0..10).map(|n| {
                     let mut stream = site.dial();
                     stream.write_all(&request("look", &format!("left{n}"), 60_000)).unwrap();
-                    leave(stream, how)
+                    disconnect(stream, how)
                 });
                 streams.collect::<Vec<_>>()
             });
             assert_eq!(site.ask("look", "after").status(), 200);
-            let reached: Vec<String> =
+            let received_ids: Vec<String> =
                 site.requests().iter().map(|(_, message)| message.header("x-txn").to_owned()).collect();
-            assert_eq!(reached, ["after"], "{how:?}");
+            assert_eq!(received_ids, ["after"], "{how:?}");
         }
     }
 }
 
-// Half a request and a close: nothing was asked for.
+// A request that a close cuts off is not sent to a server.
 #[test]
-fn a_close_within_a_request_is_no_request() {
+fn a_request_cut_off_by_a_close_is_not_sent() {
     let site = Site::new(1);
     let whole = request("pay", "1", 60_000);
     for part in [1, whole.len() / 2, whole.len() - 1] {
--- a/tests/node/log.rs
+++ b/tests/node/log.rs
@@ -1,4 +1,4 @@
-//! What the node says of itself.
+//! The node's log and counts.
 
 use std::process::Command;
 
@@ -7,28 +7,28 @@
 use crate::site::*;
 
 #[test]
-fn the_log_in_json_names_node_request_server_and_revision() {
+fn the_json_log_names_node_request_server_and_revision() {
     let env = [("BALANCER_LOG_FORMAT", "json"), ("RUST_LOG", "debug")];
     let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
     assert_eq!(site.ask("look", "abc").status(), 200);
     let (_, mut watch) = site.watch();
     chunk(&mut watch, &format!("{}\n", json!({"revision": 43, "complete": true, "members": site.members})));
-    let line = |message: &str| loop {
+    let wait_for_line = |message: &str| loop {
         let line = site.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line '{message}'"));
         let line: Value = serde_json::from_str(&line).unwrap();
         if line["fields"]["message"] == message {
             return line;
         }
     };
-    let attempt = line("attempt ended");
+    let attempt = wait_for_line("attempt ended");
     assert_eq!(attempt["span"]["node"], "n0");
     assert_eq!((&attempt["fields"]["request"], &attempt["fields"]["server"]), (&json!("abc"), &json!("s-0")));
     assert_eq!((&attempt["fields"]["attempt"], &attempt["fields"]["outcome"]), (&json!(0), &json!("Ok")));
-    assert_eq!(line("list")["fields"]["revision"], 43);
+    assert_eq!(wait_for_line("list")["fields"]["revision"], 43);
 }
 
 #[test]
-fn a_log_format_that_is_none_is_said_at_the_start() {
+fn an_unknown_log_format_is_reported_at_the_start() {
     let site = Site::new(1);
     let output = Command::new(env!("CARGO_BIN_EXE_woodgap"))
         .env_clear()
@@ -37,23 +37,25 @@
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(1));
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(said.contains("BALANCER_LOG_FORMAT 'xml': expected text or json"), "{said}");
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(stderr.contains("BALANCER_LOG_FORMAT 'xml': expected text or json"), "{stderr}");
 }
 
 #[test]
-fn the_counts_say_where_requests_and_connections_went() {
+fn the_counts_include_requests_and_connections() {
     let env = [("BALANCER_LOG_FORMAT", "json"), ("RUST_LOG", "woodgap::counts=debug,info")];
     let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
     assert_eq!(site.ask("look", "a").status(), 200);
     site.all_do(Does::Answer("503 Service Unavailable\r\nX-Turned-Away: 1"));
     assert_eq!(site.ask("pay", "b").status(), 503);
-    let due = "requests=2 served=1 refused_tried=1 ok=1 full=1";
+    let expected = "requests=2 served=1 refused_tried=1 ok=1 full=1";
     loop {
-        let line = site.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {due}"));
+        let line = site.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {expected}"));
         let line: Value = serde_json::from_str(&line).unwrap();
-        if let Some(counts) = line["fields"]["counts"].as_str().filter(|counts| counts.starts_with(due)) {
-            // The second attempt may find the first one's connection rested, or open its own.
+        if let Some(counts) = line["fields"]["counts"].as_str().filter(|counts| counts.starts_with(expected))
+        {
+            // The second attempt reuses the first one's connection or opens another, so only the name is
+            // checked.
             assert!(counts.contains(" dialled="), "{counts}");
             return;
         }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,12 +1,12 @@
-//! The real node over loopback sockets, between servers and a discovery of the test's own.
+//! Tests that run the node's binary over loopback sockets, with test servers and a test discovery service.
 
-mod answers;
-mod crowds;
-mod leaving;
+mod disconnects;
 mod links;
 mod list;
 mod log;
 mod requests;
+mod resource_limits;
+mod responses;
 mod restart;
 mod site;
 mod tenancy;
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -1,15 +1,15 @@
-//! A request and its answer.
+//! Requests, responses and what is rejected.
 
 use std::io::{BufReader, Write};
 
 use crate::site::*;
 
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+fn a_request_is_forwarded_unchanged_and_its_response_returned() {
     let site = Site::new(2);
     assert_eq!(site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    let answer = site.ask("put", "abc");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"abc".as_slice()));
+    let response = site.ask("put", "abc");
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"abc".as_slice()));
     let seen = site.requests();
     let (_, request) = &seen[0];
     assert_eq!(seen.len(), 1);
@@ -19,10 +19,10 @@
     assert!((1..60_000).contains(&request.header("x-remaining-ms").parse::<u64>().unwrap()));
 }
 
-// Servers tell requests apart by their ids: a second one under an open id could run an effect twice,
-// or take the first one's answer.
+// Servers tell requests apart by their ids. A second request with the id of an open one could run an effect
+// twice, or get the first one's response.
 #[test]
-fn a_request_under_an_open_id_is_turned_away() {
+fn a_request_with_the_id_of_an_open_one_is_rejected() {
     let site = Site::new(1);
     site.all_do(Does::Hold);
     let mut first = site.dial();
@@ -32,13 +32,13 @@
     assert_eq!(site.ask("look", "same").status(), 409);
     assert!(site.requests().is_empty());
     site.all_do(Does::Serve);
-    let answer = Message::read(&mut BufReader::new(first)).unwrap();
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"same".as_slice()));
+    let response = Message::read(&mut BufReader::new(first)).unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, b"same".as_slice()));
     assert_eq!(site.ask("pay", "same").status(), 200);
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() {
     for does in [
         Does::Break,
         Does::BreakHalfway,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_safe_request_is_served_after_a_broken_answer() {
+fn a_safe_request_is_retried_after_a_broken_response() {
     let site = Site::new(2);
     site.all_do(Does::BreakHalfway);
     let mut stream = site.dial();
@@ -63,15 +63,15 @@
     for n in 0..8 {
         let id = format!("{n}");
         stream.write_all(&request("look", &id, 60_000)).unwrap();
-        let answer = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
-        assert_eq!((answer.status(), answer.body), (200, id.into_bytes()));
+        let response = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
+        assert_eq!((response.status(), response.body), (200, id.into_bytes()));
     }
 }
 
-// What can't be the answer must not reach the client as one, nor hold its request until the deadline.
+// A malformed response must not reach the client, nor keep its request open until the deadline.
 #[test]
-fn a_spoilt_answer_ends_its_attempt_alone() {
-    let spoilt: [(&str, usize); 10] = [
+fn a_malformed_response_fails_only_its_attempt() {
+    let malformed: [(&str, usize); 10] = [
         ("\u{1}\u{2} noise\r\n\r\n", 1),
         ("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc", 1),
         ("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc", 1),
@@ -83,7 +83,7 @@
         ("HTTP/1.1 200 OK\r\nX-A: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa", 2_000),
         ("HTTP/1.1 100 Continue\r\n\r\n", 20_000),
     ];
-    for (text, times) in spoilt {
+    for (text, times) in malformed {
         let site = Site::new(2);
         site.all_do(Does::Raw(text, times));
         let status = site.ask("pay", "1").status();
@@ -95,53 +95,53 @@
 }
 
 #[test]
-fn what_comes_ahead_of_a_good_answer_or_with_it_does_no_harm() {
+fn interim_responses_and_a_malformed_load_report_do_no_harm() {
     let site = Site::new(1);
-    let answer = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
+    let response = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
         HTTP/1.1 200 OK\r\nX-Pressure: {\"queue\":\r\nContent-Length: 2\r\n\r\nok";
-    site.all_do(Does::Raw(answer, 1));
+    site.all_do(Does::Raw(response, 1));
     for n in 0..4 {
         assert_eq!(site.ask("pay", &n.to_string()).body, b"ok");
     }
 }
 
-// A second copy of an answer must never be taken for the answer to the next request.
+// A duplicate of a response must never be taken for the response to the next request.
 #[test]
-fn a_second_copy_answers_nobody() {
-    for later in [0, 1, 2, 4] {
+fn a_duplicate_response_is_never_used() {
+    for delay_ms in [0, 1, 2, 4] {
         let site = Site::new(1);
-        site.all_do(Does::ServeTwice(later));
+        site.all_do(Does::ServeTwice(delay_ms));
         for n in 0..20 {
-            let id = format!("{later}-{n}");
+            let id = format!("{delay_ms}-{n}");
             assert_eq!(site.ask("pay", &id).body, id.as_bytes());
         }
     }
 }
 
 #[test]
-fn an_unsafe_request_turned_away_unseen_is_refused_or_served_elsewhere() {
+fn an_unsafe_request_that_all_servers_rejected_unrun_is_refused() {
     let site = Site::new(2);
     site.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let answer = site.ask("pay", "1");
-    assert_eq!(answer.status(), 503);
+    let response = site.ask("pay", "1");
+    assert_eq!(response.status(), 503);
     site.all_do(Does::Serve);
     until("served again", || site.ask("pay", "2").status() == 200);
 }
 
 #[test]
-fn a_request_is_answered_before_its_time_runs_out() {
+fn a_request_is_answered_before_its_deadline() {
     let site = Site::new(2);
     site.all_do(Does::Hang);
     for class in ["look", "pay", "put"] {
         let status = site.raw(&request(class, "1", 400)).status();
         assert_ne!(status, 200);
-        // What may have run unsafely is not called harmless.
+        // The unsafe request may have run, so it must not get a status that allows a retry.
         assert!(class != "pay" || ![429, 503].contains(&status), "{status}");
     }
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_disconnected_client_ends_its_attempt() {
     let site = Site::new(2);
     site.all_do(Does::Hang);
     let mut stream = site.dial();
@@ -152,51 +152,52 @@
 }
 
 #[test]
-fn odd_requests_get_plain_answers() {
+fn malformed_requests_are_rejected() {
     let site = Site::new(1);
-    let with = |old: &str, new: &str| {
+    let status_with = |old: &str, new: &str| {
         let text = String::from_utf8(request("pay", "1", 60_000)).unwrap();
         assert!(text.contains(old));
         site.raw(text.replace(old, new).as_bytes()).status()
     };
-    assert_eq!(with("X-Lane: pay", "X-Lane: none"), 400);
-    assert_eq!(with("X-Org: acme", "X-Org: other"), 400);
-    assert_eq!(with("X-Txn: 1\r\n", ""), 400);
-    assert_eq!(with("X-Remaining-Ms: 60000", "X-Remaining-Ms: soon"), 400);
-    assert_eq!(with("X-Remaining-Ms: 60000", "X-Remaining-Ms: -1"), 400);
-    assert_eq!(with("X-Lane: pay", "X-Lane: put"), 400);
-    // What servers would take for another class, and what may be read in two ways.
-    assert_eq!(with("X-Lane: pay", "X-Lane: look"), 400);
-    assert_eq!(with("POST", "GET"), 400);
-    assert_eq!(with("X-Lane: pay", "X-Lane: pay\r\nIdempotency-Key: 5"), 400);
-    assert_eq!(with("Host: service.internal\r\n", ""), 400);
-    for twice in ["Host: other", "X-Txn: 2", "X-Lane: pay", "X-Remaining-Ms: 5", "X-Org: acme"] {
-        assert_eq!(with("X-Org: acme", &format!("X-Org: acme\r\n{twice}")), 400, "{twice}");
+    assert_eq!(status_with("X-Lane: pay", "X-Lane: none"), 400);
+    assert_eq!(status_with("X-Org: acme", "X-Org: other"), 400);
+    assert_eq!(status_with("X-Txn: 1\r\n", ""), 400);
+    assert_eq!(status_with("X-Remaining-Ms: 60000", "X-Remaining-Ms: soon"), 400);
+    assert_eq!(status_with("X-Remaining-Ms: 60000", "X-Remaining-Ms: -1"), 400);
+    assert_eq!(status_with("X-Lane: pay", "X-Lane: put"), 400);
+    // Requests that servers would take for another class, and ambiguous ones.
+    assert_eq!(status_with("X-Lane: pay", "X-Lane: look"), 400);
+    assert_eq!(status_with("POST", "GET"), 400);
+    assert_eq!(status_with("X-Lane: pay", "X-Lane: pay\r\nIdempotency-Key: 5"), 400);
+    assert_eq!(status_with("Host: service.internal\r\n", ""), 400);
+    for second in ["Host: other", "X-Txn: 2", "X-Lane: pay", "X-Remaining-Ms: 5", "X-Org: acme"] {
+        assert_eq!(status_with("X-Org: acme", &format!("X-Org: acme\r\n{second}")), 400, "{second}");
     }
-    let hidden = "0\r\n\r\nPOST /api HTTP/1.1\r\n";
+    let hidden_request = "0\r\n\r\nPOST /api HTTP/1.1\r\n";
     for framing in [
         "Transfer-Encoding: chunked\r\nContent-Length: 26",
         "Content-Length: 26\r\nTransfer-Encoding: chunked",
     ] {
         let text = String::from_utf8(request("pay", "1", 60_000)).unwrap();
-        let text = text.replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n{hidden}"));
-        let answer = site.raw(text.as_bytes());
-        assert_eq!((answer.status(), answer.header("connection")), (411, "close"));
+        let text =
+            text.replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n{hidden_request}"));
+        let response = site.raw(text.as_bytes());
+        assert_eq!((response.status(), response.header("connection")), (411, "close"));
     }
-    assert_eq!(with("Content-Length: 5", "Content-Length: -5"), 400);
-    assert_eq!(with("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 6"), 400);
-    assert_eq!(with("/api?", "/other?"), 404);
-    assert_eq!(with("POST", "DELETE"), 405);
-    assert_eq!(with("Content-Length: 5", "Content-Length: 70000"), 413);
-    assert_eq!(with("X-Org: acme", &format!("X-Org: acme\r\nX-Long: {}", "a".repeat(40_000))), 431);
-    assert_eq!(with(" HTTP/1.1", " NONSENSE"), 400);
+    assert_eq!(status_with("Content-Length: 5", "Content-Length: -5"), 400);
+    assert_eq!(status_with("Content-Length: 5", "Content-Length: 5\r\nContent-Length: 6"), 400);
+    assert_eq!(status_with("/api?", "/other?"), 404);
+    assert_eq!(status_with("POST", "DELETE"), 405);
+    assert_eq!(status_with("Content-Length: 5", "Content-Length: 70000"), 413);
+    assert_eq!(status_with("X-Org: acme", &format!("X-Org: acme\r\nX-Long: {}", "a".repeat(40_000))), 431);
+    assert_eq!(status_with(" HTTP/1.1", " NONSENSE"), 400);
     assert!(site.requests().is_empty());
     assert_eq!(site.ask("pay", "2").status(), 200);
 }
 
-// The other framing that HTTP/1.1 has: a body in chunks goes on whole, with a length, however it comes.
+// A chunked body is forwarded with a Content-Length, however the client splits it.
 #[test]
-fn a_body_in_chunks_is_passed_on() {
+fn a_chunked_body_is_forwarded() {
     let site = Site::new(1);
     let plain = String::from_utf8(request("pay", "ID", 60_000)).unwrap();
     let chunked = |id: &str, body: &str| {
@@ -207,26 +208,27 @@
         [("1", "5\r\nhello\r\n0\r\n\r\n"), ("2", "2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nX-T: z\r\n\r\n")]
     {
         let mut stream = site.dial();
-        // Byte by byte, behind a request with a length.
+        // The chunked request follows a request with a length and is sent byte by byte.
         stream.write_all(&request("pay", &format!("before{id}"), 60_000)).unwrap();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         assert_eq!(Message::read(&mut input).unwrap().status(), 200);
         stream.set_nodelay(true).unwrap();
         chunked(id, body).bytes().for_each(|byte| stream.write_all(&[byte]).unwrap());
-        let answer = Message::read(&mut input).unwrap();
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, id.as_bytes()));
+        let response = Message::read(&mut input).unwrap();
+        assert_eq!((response.status(), response.body.as_slice()), (200, id.as_bytes()));
         let seen = site.requests();
         let (_, request) = seen.last().unwrap();
         assert_eq!((request.body.as_slice(), request.header("content-length")), (b"hello".as_slice(), "5"));
         assert_eq!(request.header("transfer-encoding"), "");
     }
-    // A safe request has no body, in whatever framing; a body without end is none.
+    // A safe request may be chunked but must have no body.
     let look = String::from_utf8(request("look", "3", 60_000)).unwrap();
     let empty = look.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     assert_eq!(site.raw(empty.as_bytes()).status(), 200);
     let body = look.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
     assert_eq!(site.raw(body.as_bytes()).status(), 400);
     site.requests();
+    // A body that is too long, and a malformed chunk size.
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     assert_eq!(site.raw(chunked("4", &chunk.repeat(3)).as_bytes()).status(), 413);
     assert_eq!(site.raw(chunked("5", "zz\r\n").as_bytes()).status(), 400);
--- a/tests/node/crowds.rs
+++ b/tests/node/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Places and memory where many clients want them.
+//! Limits on sockets and memory while many clients connect.
 
 use std::io::{BufReader, Write};
 
@@ -6,16 +6,17 @@
 
 use crate::site::*;
 
-/// Has the system hold the node to so many descriptors.
-fn limit_descriptors(site: &Site, most: &str) {
-    let (pid, most) = (site.node.id().to_string(), format!("--nofile={most}:"));
-    let status = std::process::Command::new("prlimit").args(["--pid", &pid, &most]).status().unwrap();
+/// Sets the kernel's limit on the node's file descriptors.
+fn limit_descriptors(site: &Site, limit: &str) {
+    let (pid, limit) = (site.node.id().to_string(), format!("--nofile={limit}:"));
+    let status = std::process::Command::new("prlimit").args(["--pid", &pid, &limit]).status().unwrap();
     assert!(status.success());
 }
 
-// Idle clients take every place while discovery is down: descriptors for discovery and servers are not theirs.
+// Idle clients take all sockets for clients while discovery is down. The file descriptors for discovery and
+// for servers must stay free.
 #[test]
-fn idle_clients_leave_the_way_to_discovery_and_servers_open() {
+fn idle_clients_leave_sockets_for_discovery_and_servers() {
     let site = Site::with(2, json!({"sockets": 80}));
     limit_descriptors(&site, "80");
     let mut watch = site.watch_from(41);
@@ -23,10 +24,10 @@
     drop(watch);
     let crowd: Vec<_> = (0..100).map(|_| site.dial()).collect();
     until("served", || site.ask("pay", "1").status() == 200);
-    // Discovery is back, with one server less.
+    // Discovery is back and lists one server less.
     let list = json!({"revision": 50, "complete": true, "members": site.members[1..]});
     chunk(&mut site.watch().1, &format!("{list}\n"));
-    until("the list is acted on", || {
+    until("the node uses the new list", || {
         site.requests();
         let served = (0..6).filter(|n| site.ask("pay", &format!("2-{n}")).status() == 200).count();
         served > 0 && site.requests().iter().all(|(server, _)| *server == 1)
@@ -34,7 +35,8 @@
     drop(crowd);
 }
 
-// The system's own limit, lower than the node was told: accepting and dialling fail, and it recovers.
+// The kernel's limit on file descriptors is lower than the configured one: accepting and dialling fail until
+// clients disconnect.
 #[test]
 fn a_node_without_descriptors_recovers() {
     let site = Site::with(1, json!({"sockets": 4_000}));
@@ -46,19 +48,20 @@
             stream
         })
         .collect();
-    until("it says so", || site.log.try_iter().any(|line| line.contains("accept failed")));
+    until("the failure is logged", || site.log.try_iter().any(|line| line.contains("accept failed")));
     drop(crowd);
     until("served again", || site.ask("look", "after").status() == 200);
 }
 
-// Places are taken from whoever says nothing, never from one whose request has come and lies unread.
+// For new connections the node evicts silent ones, but never a connection whose request has arrived and is
+// still unread.
 #[test]
-fn a_request_that_has_come_keeps_its_connection() {
-    // Twelve places.
+fn a_connection_with_an_unread_request_is_not_evicted() {
+    // 60 sockets leave twelve for clients.
     let site = Site::with(1, json!({"sockets": 60}));
     for round in 0..4 {
         let mut silent: Vec<_> = (0..12).map(|_| BufReader::new(site.dial())).collect();
-        // They are old enough to give way.
+        // Connections without a request may be evicted after 500 ms.
         std::thread::sleep(std::time::Duration::from_millis(700));
         let newcomers: Vec<_> = site.stopped(|| {
             let newcomers = (0..6).map(|_| site.dial()).collect();
@@ -67,44 +70,47 @@
             }
             newcomers
         });
-        // Not all find a socket to a server, but none is closed unanswered.
+        // Not every request gets a socket to a server, but no connection is closed without a response.
         for stream in &mut silent {
-            assert!([200, 503].contains(&Message::read(stream).expect("an answer").status()));
+            assert!([200, 503].contains(&Message::read(stream).expect("a response").status()));
         }
         drop((silent, newcomers));
-        until("all places are free", || site.ask("pay", &format!("free{round}")).status() == 200);
+        until("all sockets are free", || site.ask("pay", &format!("free{round}")).status() == 200);
     }
 }
 
-/// The most memory that a process has had so far, in kB.
+/// The node's peak memory so far, in kB.
 fn peak_kb(site: &Site) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", site.node.id())).unwrap();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
+    let line =
+        status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("VmHWM in the process status");
     line.trim().trim_end_matches(" kB").trim().parse().unwrap()
 }
 
-// Floods are bounded: clients that send and go, that send without end behind a request, and answers that never
-// end leave the node under half of its limit.
+// Three floods must leave the node's memory under half of its limit: clients that send and disconnect,
+// clients that keep sending behind a request, and responses that never end.
 #[test]
-fn floods_leave_memory_under_half_of_its_limit() {
+fn memory_stays_under_half_of_its_limit_in_floods() {
     let limit_mb = 48;
     let site = Site::with(1, json!({"sockets": 512, "memory_mb": limit_mb}));
     assert_eq!(site.ask("look", "0").status(), 200);
     let flood = vec![b'x'; 1 << 20];
     let body = format!("Content-Length: 65536\r\n\r\n{}", "b".repeat(65_536));
-    let big = String::from_utf8(request("pay", "ID", 2_000))
+    let largest_request = String::from_utf8(request("pay", "ID", 2_000))
         .unwrap()
         .replace("Content-Length: 5\r\n\r\nhello", &body);
     for round in 0..6 {
-        // An answer without a length that never ends.
-        let endless =
+        // Either no response, or one without a length that never ends.
+        let server_faults =
             [Does::Hang, Does::Raw("HTTP/1.1 200 OK\r\n\r\nxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", 50_000)];
-        site.all_do(endless[round % 2]);
+        site.all_do(server_faults[round % 2]);
         let held: Vec<_> = (0..120)
             .map(|n| {
                 let mut stream = site.dial();
                 stream.set_write_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
-                let _ = stream.write_all(big.replace("X-Txn: ID", &format!("X-Txn: {round}-{n}")).as_bytes());
+                let _ = stream.write_all(
+                    largest_request.replace("X-Txn: ID", &format!("X-Txn: {round}-{n}")).as_bytes(),
+                );
                 if n % 10 == 0 {
                     let _ = stream.write_all(&flood);
                 }
@@ -119,9 +125,9 @@
     assert!(peak < limit_mb * 1024 / 2, "{peak} kB of {limit_mb} MB");
 }
 
-// What the node closes with nothing answered is in its own counts, as the operators count it.
+// The node's counts include the connections that it closes without a response, so that operators see them.
 #[test]
-fn what_is_closed_unanswered_is_counted() {
+fn connections_closed_without_a_response_are_counted() {
     let env = [("RUST_LOG", "woodgap::counts=debug,info"), ("BALANCER_LOG_FORMAT", "json")];
     let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
     let mut silent: Vec<_> = (0..3).map(|_| site.dial()).collect();
--- a/tests/node/tenancy.rs
+++ b/tests/node/tenancy.rs
@@ -1,11 +1,12 @@
-//! One customer's settings at another: all that is told of classes, tenants and limits comes from the file.
+//! Two deployments with different settings: classes, tenants and limits come from the configuration file
+//! alone.
 
 use serde_json::{json, Value};
 
 use crate::site::*;
 
-/// Another deployment: other names, other effects, short times, no advice, no cancelling.
-fn other(settings: &mut Value) {
+/// Settings of another deployment: other names and semantics, short times, no `Retry-After`, no cancelling.
+fn use_other_settings(settings: &mut Value) {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 200_000, "deadline": 400_000, "semantics": semantics, "points": 9.0,
             "late-share": 0.0, "key-scope": "zone", "key-ttl": 150_000})
@@ -16,61 +17,71 @@
         "keepalive": 9_000_000, "retry-after": false, "max-retry-after": 2_000_000});
 }
 
-/// A request whose method says the effect that its class has there.
-fn of(class: &str, effect: &str, tenant: &str, id: &str) -> Vec<u8> {
-    let like = match effect {
+/// A request of a class, with the method and headers that these semantics need.
+fn request_with(class: &str, semantics: &str, tenant: &str, id: &str) -> Vec<u8> {
+    let template = match semantics {
         "safe" => "look",
         "unsafe" => "pay",
         _ => "put",
     };
-    let text = String::from_utf8(request(like, id, 60_000)).unwrap();
-    text.replace(&format!("X-Lane: {like}"), &format!("X-Lane: {class}"))
+    let text = String::from_utf8(request(template, id, 60_000)).unwrap();
+    text.replace(&format!("X-Lane: {template}"), &format!("X-Lane: {class}"))
         .replace("X-Org: acme", &format!("X-Org: {tenant}"))
         .into_bytes()
 }
 
 #[test]
-fn two_deployments_side_by_side_know_nothing_of_each_other() {
-    let (one, two) = (Site::new(2), Site::configured(2, json!({"sockets": 128}), other));
+fn two_deployments_on_one_host_are_independent() {
+    let (first, second) = (Site::new(2), Site::configured(2, json!({"sockets": 128}), use_other_settings));
     for round in 0..3 {
-        let ask = |site: &Site, class, effect, tenant| {
-            site.raw(&of(class, effect, tenant, &format!("{round}-{class}-{effect}-{tenant}"))).status()
+        let ask = |site: &Site, class, semantics, tenant| {
+            let id = format!("{round}-{class}-{semantics}-{tenant}");
+            site.raw(&request_with(class, semantics, tenant, &id)).status()
         };
-        // The same name has the effect that each one's settings give it.
-        assert_eq!([ask(&one, "pay", "unsafe", "acme"), ask(&two, "pay", "unsafe", "bravo")], [200, 400]);
-        assert_eq!([ask(&one, "pay", "safe", "acme"), ask(&two, "pay", "safe", "bravo")], [400, 200]);
-        assert_eq!([ask(&one, "seal", "keyed", "acme"), ask(&two, "seal", "keyed", "bravo")], [400, 200]);
-        assert_eq!([ask(&one, "put", "keyed", "acme"), ask(&two, "put", "keyed", "bravo")], [200, 400]);
-        assert_eq!([ask(&one, "look", "safe", "bravo"), ask(&two, "look", "unsafe", "acme")], [400, 400]);
+        // A class has the semantics of its own deployment, whatever another gives the same name.
+        assert_eq!(
+            [ask(&first, "pay", "unsafe", "acme"), ask(&second, "pay", "unsafe", "bravo")],
+            [200, 400]
+        );
+        assert_eq!([ask(&first, "pay", "safe", "acme"), ask(&second, "pay", "safe", "bravo")], [400, 200]);
+        assert_eq!(
+            [ask(&first, "seal", "keyed", "acme"), ask(&second, "seal", "keyed", "bravo")],
+            [400, 200]
+        );
+        assert_eq!([ask(&first, "put", "keyed", "acme"), ask(&second, "put", "keyed", "bravo")], [200, 400]);
+        assert_eq!(
+            [ask(&first, "look", "safe", "bravo"), ask(&second, "look", "unsafe", "acme")],
+            [400, 400]
+        );
     }
-    // Times and advice too: the one waits for a silent server, the other gives up in its 400 ms and says nothing.
-    two.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    one.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let refused = one.raw(&of("pay", "unsafe", "acme", "r1"));
+    // So with times and `Retry-After`: the second one gives up within its 400 ms and sends no `Retry-After`.
+    second.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
+    first.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
+    let refused = first.raw(&request_with("pay", "unsafe", "acme", "r1"));
     assert!(refused.status() == 503 && !refused.header("retry-after").is_empty());
-    let refused = two.raw(&of("look", "unsafe", "bravo", "r2"));
+    let refused = second.raw(&request_with("look", "unsafe", "bravo", "r2"));
     assert!(refused.status() == 503 && refused.header("retry-after").is_empty());
-    two.all_do(Does::Hang);
-    let late = two.raw(&of("look", "unsafe", "bravo", "late"));
+    second.all_do(Does::Hang);
+    let late = second.raw(&request_with("look", "unsafe", "bravo", "late"));
     assert!(![200, 429, 503].contains(&late.status()));
-    let told: u64 = two.requests().last().unwrap().1.header("x-remaining-ms").parse().unwrap();
-    assert!(told <= 400, "{told}");
+    let remaining_ms: u64 = second.requests().last().unwrap().1.header("x-remaining-ms").parse().unwrap();
+    assert!(remaining_ms <= 400, "{remaining_ms}");
 }
 
-// SIGHUP moves discovery and nothing else: classes, tenants and limits hold until a restart, and with a restart
-// nothing of the old ones is left.
+// SIGHUP changes the address of discovery and nothing else: classes, tenants and limits stay until a restart,
+// and none of the old ones is left after a restart.
 #[test]
-fn a_changed_file_counts_for_discovery_at_once_and_for_the_rest_at_a_restart() {
+fn a_changed_file_moves_discovery_at_once_and_the_rest_at_a_restart() {
     let mut site = Site::new(1);
     let (tx, watches) = std::sync::mpsc::channel();
     site.config["discovery"] = json!(discovery(tx).to_string());
-    other(&mut site.config["settings"]);
+    use_other_settings(&mut site.config["settings"]);
     site.reload(&site.config.to_string());
-    let (request, _stream) = watches.recv_timeout(PATIENCE).expect("a watch at the new place");
+    let (request, _stream) = watches.recv_timeout(PATIENCE).expect("a watch at the new address");
     assert!(request.first.contains("index=0 "), "{}", request.first);
-    assert_eq!(site.raw(&of("pay", "unsafe", "acme", "1")).status(), 200);
-    assert_eq!(site.raw(&of("seal", "keyed", "bravo", "2")).status(), 400);
-    let fresh = Site::configured(1, json!({"sockets": 128}), other);
-    assert_eq!(fresh.raw(&of("seal", "keyed", "bravo", "3")).status(), 200);
-    assert_eq!(fresh.raw(&of("put", "keyed", "acme", "4")).status(), 400);
+    assert_eq!(site.raw(&request_with("pay", "unsafe", "acme", "1")).status(), 200);
+    assert_eq!(site.raw(&request_with("seal", "keyed", "bravo", "2")).status(), 400);
+    let restarted = Site::configured(1, json!({"sockets": 128}), use_other_settings);
+    assert_eq!(restarted.raw(&request_with("seal", "keyed", "bravo", "3")).status(), 200);
+    assert_eq!(restarted.raw(&request_with("put", "keyed", "acme", "4")).status(), 400);
 }
