--- a/crates/cli/src/cold_starts.rs
+++ b/crates/cli/src/cold_starts.rs
@@ -2,7 +2,7 @@
 //!
 //! A cold server breaks down when it is sent more than N + 2 sqrt(N) + 2 requests of mean work within the
 //! settings' window. N is the settings' multiple of what the server can serve at that time. The logs don't
-//! tell the capacity of a warm server. It is estimated as the most requests that the fleet served in a
+//! give the capacity of a warm server. It is estimated as the most requests that the fleet served in a
 //! second, in proportion to the servers' sizes, so a fleet with spare capacity appears closer to the limit
 //! than it is.
 
@@ -26,14 +26,16 @@
 /// The requests that all nodes sent to a cold server in one window.
 #[derive(Debug, PartialEq, Serialize)]
 pub struct Window {
+    /// Id of the server.
     pub server: String,
     /// Time from the start of the server's process to the start of the window.
     pub from_ms: u64,
+    /// Requests sent in the window.
     pub sent: u64,
     /// More requests than this overload the server.
     #[serde(rename = "bears")]
     pub limit: f64,
-    /// `sent` as a part of `limit`.
+    /// `sent` divided by `limit`.
     #[serde(rename = "part")]
     pub ratio: f64,
 }
@@ -62,14 +64,14 @@
     /// each start of a server, separated by spaces: `ID@START_MS/SIZE,BUCKET_MS=COUNT,...`.
     pub fn add_line(&mut self, fields: &Value) {
         let Some(text) = fields["cold"].as_str() else { return };
-        let real = |name: &str| fields[name].as_f64().unwrap_or(0.0);
+        let read_number = |name: &str| fields[name].as_f64().unwrap_or(0.0);
         self.ramp = Ramp {
-            start_capacity: real("start"),
-            duration_ms: real("span_ms"),
-            cold_overload_multiple: real("multiple"),
+            start_capacity: read_number("start"),
+            duration_ms: read_number("span_ms"),
+            cold_overload_multiple: read_number("multiple"),
             overload_window_ms: fields["window_ms"].as_u64().unwrap_or(0),
         };
-        let total_size = real("able");
+        let total_size = read_number("able");
         self.total_size = Some(self.total_size.map_or(total_size, |lowest| lowest.min(total_size)));
         for group in text.split(' ') {
             let mut parts = group.split(',');
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/woodgap-simhost/main.rs
@@ -61,13 +61,13 @@
         out: &mut W,
     ) -> Result<AfterLine, InputError> {
         let mut fields = Fields::new(line);
-        let message = fields.text("message")?;
+        let message = fields.read_text("message")?;
         if !self.is_in_batch {
             if message != "BEGIN_BATCH" {
                 return Err(InputError::new(format!("'{message}' outside a batch")));
             }
-            self.now = fields.number("time")?;
-            self.batch = fields.number("batch")?;
+            self.now = fields.read_number("time")?;
+            self.batch = fields.read_number("batch")?;
             fields.expect_end()?;
             (self.context_node, self.output_node, self.is_in_batch) = (None, None, true);
             return Ok(AfterLine::Continue);
@@ -80,12 +80,12 @@
                 return Ok(AfterLine::FlushOutput);
             }
             "CONTEXT" => {
-                self.context_node = Some(fields.number("node")?);
+                self.context_node = Some(fields.read_number("node")?);
                 fields.expect_end()?;
             }
             "POOL" => {
-                let list = fields.number("list")?;
-                let count: usize = fields.number("members-list")?;
+                let list = fields.read_number("list")?;
+                let count: usize = fields.read_number("members-list")?;
                 fields.expect_end()?;
                 let mut members = Vec::with_capacity(count.min(MAX_RESERVED_MEMBERS));
                 for _ in 0..count {
@@ -98,7 +98,7 @@
             }
             "SPAWN" => {
                 let node = self.context_node()?;
-                let seed = fields.number("nonce64")?;
+                let seed = fields.read_number("nonce64")?;
                 let pairs = SettingPairs::parse_line(fields.take_rest())?;
                 let (settings, request_names) = settings::parse_settings(&pairs)?;
                 let balancer = Balancer::new(settings, seed);
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -25,7 +25,7 @@
     }
 
     /// The next field; `None` if the field is empty or `-`, which marks an absent value.
-    fn next(&mut self, name: &str) -> Result<Option<&'a str>, InputError> {
+    fn next_field(&mut self, name: &str) -> Result<Option<&'a str>, InputError> {
         let rest = self.rest.ok_or_else(|| InputError::new(format!("field '{name}' is missing")))?;
         let (field, rest) = match rest.split_once(' ') {
             Some((field, rest)) => (field, Some(rest)),
@@ -35,28 +35,28 @@
         Ok((field != "-" && !field.is_empty()).then_some(field))
     }
 
-    pub fn text(&mut self, name: &str) -> Result<&'a str, InputError> {
-        self.next(name)?.ok_or_else(|| InputError::new(format!("field '{name}' is empty")))
+    pub fn read_text(&mut self, name: &str) -> Result<&'a str, InputError> {
+        self.next_field(name)?.ok_or_else(|| InputError::new(format!("field '{name}' is empty")))
     }
 
-    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, InputError> {
-        self.next(name)?.map(|text| parse_number(text, name)).transpose()
+    pub fn read_optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, InputError> {
+        self.next_field(name)?.map(|text| parse_number(text, name)).transpose()
     }
 
-    pub fn number<T: FromStr>(&mut self, name: &str) -> Result<T, InputError> {
-        parse_number(self.text(name)?, name)
+    pub fn read_number<T: FromStr>(&mut self, name: &str) -> Result<T, InputError> {
+        parse_number(self.read_text(name)?, name)
     }
 
-    fn flag(&mut self, name: &str) -> Result<bool, InputError> {
-        match self.next(name)? {
+    fn read_bool(&mut self, name: &str) -> Result<bool, InputError> {
+        match self.next_field(name)? {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
             Some(other) => Err(InputError::new(format!("field '{name}': '{other}' is not a boolean"))),
         }
     }
 
-    fn request_id(&mut self) -> Result<RequestId, InputError> {
-        let text = self.text("msg-id")?;
+    fn read_request_id(&mut self) -> Result<RequestId, InputError> {
+        let text = self.read_text("msg-id")?;
         let bytes = text
             .as_bytes()
             .try_into()
@@ -65,8 +65,8 @@
     }
 
     /// Reads the values of a server's load report, separated by commas.
-    fn load(&mut self) -> Result<Vec<f64>, InputError> {
-        match self.next("load")? {
+    fn read_load_report(&mut self) -> Result<Vec<f64>, InputError> {
+        match self.next_field("load")? {
             None => Ok(Vec::new()),
             Some(text) => text.split(',').map(|value| parse_finite(value, "load")).collect(),
         }
@@ -89,20 +89,20 @@
 /// Parses an `M` line, an entry of a server list.
 pub fn parse_member(line: &str, zone_ids: &mut ZoneIds) -> Result<Member, InputError> {
     let mut fields = Fields::new(line);
-    match fields.text("message")? {
+    match fields.read_text("message")? {
         "M" => {}
         other => return Err(InputError::new(format!("'{other}' instead of a list entry"))),
     }
-    let server = ServerId(fields.number("server")?);
-    let zone = zone_ids.get_or_assign(fields.next("campus")?.unwrap_or(""));
+    let server = ServerId(fields.read_number("server")?);
+    let zone = zone_ids.get_or_assign(fields.next_field("campus")?.unwrap_or(""));
     // The policy does not use the server's kind.
-    fields.next("kind")?;
-    let cell = CellId(fields.optional("cluster")?.unwrap_or(0));
-    let state = fields.text("state")?;
+    fields.next_field("kind")?;
+    let cell = CellId(fields.read_optional("cluster")?.unwrap_or(0));
+    let state = fields.read_text("state")?;
     let state = parse_server_state(state)
         .ok_or_else(|| InputError::new(format!("field 'state': '{state}' is unknown")))?;
-    let size = fields.next("size")?.map_or(Ok(1.0), |text| parse_finite(text, "size"))?;
-    let started_at = fields.optional("since")?.unwrap_or(0);
+    let size = fields.next_field("size")?.map_or(Ok(1.0), |text| parse_finite(text, "size"))?;
+    let started_at = fields.read_optional("since")?.unwrap_or(0);
     fields.expect_end()?;
     Ok(Member { server, zone, cell, state, size, started_at })
 }
@@ -131,48 +131,48 @@
     Ok(match message {
         "QUERY" => Event::Request(parse_request(fields, request_names)?),
         "CLOSED_ATTEMPT" => Event::AttemptEnded(AttemptEnd {
-            id: fields.request_id()?,
-            attempt: fields.number("n")?,
-            server: ServerId(fields.number("server")?),
-            outcome: parse_outcome(fields.text("reason")?)?,
-            elapsed: fields.optional("spent")?.unwrap_or(0),
-            is_request_done: fields.flag("done-flag")?,
-            load_report: fields.load()?,
+            id: fields.read_request_id()?,
+            attempt: fields.read_number("n")?,
+            server: ServerId(fields.read_number("server")?),
+            outcome: parse_outcome(fields.read_text("reason")?)?,
+            elapsed: fields.read_optional("spent")?.unwrap_or(0),
+            is_request_done: fields.read_bool("done-flag")?,
+            load_report: fields.read_load_report()?,
         }),
-        "TIMEOUT_FIRED" => Event::TimerExpired(TimerId(fields.number("ctx")?)),
-        "LAPSED" => Event::RequestEnded(fields.request_id()?),
+        "TIMEOUT_FIRED" => Event::TimerExpired(TimerId(fields.read_number("ctx")?)),
+        "LAPSED" => Event::RequestEnded(fields.read_request_id()?),
         "SYNC" => parse_sync(fields, server_lists)?,
         "STATUS_BACK" => Event::ProbeEnded {
-            server: ServerId(fields.number("server")?),
-            outcome: parse_outcome(fields.text("reason")?)?,
-            elapsed: fields.optional("spent")?.unwrap_or(0),
-            load_report: fields.load()?,
+            server: ServerId(fields.read_number("server")?),
+            outcome: parse_outcome(fields.read_text("reason")?)?,
+            elapsed: fields.read_optional("spent")?.unwrap_or(0),
+            load_report: fields.read_load_report()?,
         },
         "STARTED" => {
-            let (id, attempt) = (fields.request_id()?, fields.number("n")?);
+            let (id, attempt) = (fields.read_request_id()?, fields.read_number("n")?);
             // The fields are checked, but the policy does not use them.
-            let _: u32 = fields.number("server")?;
-            let _: Option<u64> = fields.optional("spent")?;
+            let _: u32 = fields.read_number("server")?;
+            let _: Option<u64> = fields.read_optional("spent")?;
             Event::ResponseStarted { id, attempt }
         }
-        "MAIL" => Event::PeerMessage { from: fields.number("origin-peer")?, data: parse_bytes(fields)? },
+        "MAIL" => Event::PeerMessage { from: fields.read_number("origin-peer")?, data: parse_bytes(fields)? },
         other => return Err(InputError::new(format!("unknown message '{other}'"))),
     })
 }
 
 fn parse_request(fields: &mut Fields<'_>, request_names: &RequestNames) -> Result<Request, InputError> {
-    let id = fields.request_id()?;
+    let id = fields.read_request_id()?;
     // The flag is checked, but the policy does not use it.
-    fields.flag("write")?;
-    let time_left = fields.number::<i64>("patience-left")?.max(0) as u64;
-    let class = fields.text("category")?;
+    fields.read_bool("write")?;
+    let time_left = fields.read_number::<i64>("patience-left")?.max(0) as u64;
+    let class = fields.read_text("category")?;
     let class = request_names
         .class_index(class)
         .map(ClassId)
         .ok_or_else(|| InputError::new(format!("field 'category': '{class}' is not in the settings")))?;
-    let cost = fields.optional("cost-guess")?;
-    let is_client_retry = fields.flag("repeat")?;
-    let tenant = match fields.next("party")? {
+    let cost = fields.read_optional("cost-guess")?;
+    let is_client_retry = fields.read_bool("repeat")?;
+    let tenant = match fields.next_field("party")? {
         None | Some("0") => None,
         Some(name) => Some(
             request_names
@@ -181,7 +181,7 @@
                 .ok_or_else(|| InputError::new(format!("field 'party': '{name}' is not in the settings")))?,
         ),
     };
-    let key = fields.optional("resource")?.map(Key);
+    let key = fields.read_optional("resource")?.map(Key);
     Ok(Request { id, time_left, class, cost, is_client_retry, tenant, key })
 }
 
@@ -190,15 +190,15 @@
     server_lists: &HashMap<u64, Rc<Vec<Member>>>,
 ) -> Result<Event, InputError> {
     // The revision is checked, but the policy does not use it.
-    let _: Option<u64> = fields.optional("rev")?;
-    let kind = match fields.text("how")? {
+    let _: Option<u64> = fields.read_optional("rev")?;
+    let kind = match fields.read_text("how")? {
         "D" => SyncKind::Delta,
         "F" => SyncKind::Full,
         "C" => SyncKind::Cached,
         "X" => SyncKind::Failed,
         other => return Err(InputError::new(format!("field 'how': '{other}' is unknown"))),
     };
-    let list: Option<u64> = fields.optional("list")?;
+    let list: Option<u64> = fields.read_optional("list")?;
     let members = match (kind, list) {
         (SyncKind::Failed, _) => Vec::new(),
         (_, Some(list)) => match server_lists.get(&list) {
@@ -211,7 +211,7 @@
 }
 
 fn parse_bytes(fields: &mut Fields<'_>) -> Result<Vec<u8>, InputError> {
-    match fields.next("contents")? {
+    match fields.next_field("contents")? {
         None => Ok(Vec::new()),
         Some(text) => {
             STANDARD.decode(text).map_err(|error| InputError::new(format!("field 'contents': {error}")))
--- a/src/config.rs
+++ b/src/config.rs
@@ -161,7 +161,7 @@
             drain_time,
             max_open_requests: reader.read_whole("bounds.open-cap", 20_000).clamp(1, 1 << 20) as usize,
             load_report_fields: reader
-                .text("report.fields")
+                .read_text("report.fields")
                 .unwrap_or("")
                 .split(',')
                 .map(str::to_owned)
@@ -332,7 +332,7 @@
     }
 }
 
-/// Warns about settings that are valid one by one but make requests impossible to serve.
+/// Warns about settings that can be read but are implausible.
 fn check_settings(
     value: Option<&Value>,
     settings: &Settings,
@@ -364,6 +364,7 @@
 /// by commas. `path` is the dotted path of the value and `json_path` its path in the file.
 fn flatten_settings(path: &str, json_path: &str, value: &Value, pairs: &mut SettingPairs) {
     let child_path = |name: &str| {
+        // The file may have `_` in a key where the simulator's line has `-`.
         let name = name.replace('_', "-");
         if path.is_empty() {
             name
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -152,7 +152,7 @@
     }
 
     /// The value of a path; an empty value and `-` count as absent.
-    pub fn text(&self, path: &str) -> Option<&str> {
+    pub fn get(&self, path: &str) -> Option<&str> {
         self.values.get(path).map(|value| value.text.as_str()).filter(|text| !text.is_empty() && *text != "-")
     }
 
@@ -186,9 +186,9 @@
         SettingsReader { pairs, findings: Findings::default() }
     }
 
-    /// The text of a path; an absent one is not recorded.
-    pub fn text(&self, path: &str) -> Option<&'a str> {
-        self.pairs.text(path)
+    /// Reads the text of a path; an absent one is not recorded in the findings.
+    pub fn read_text(&self, path: &str) -> Option<&'a str> {
+        self.pairs.get(path)
     }
 
     /// Reads a whole number.
@@ -201,12 +201,12 @@
         self.read_number(path, default, "a finite number", parse)
     }
 
-    /// The text of a path; adds a warning if the path holds an object or a list of objects.
+    /// Reads the text of a path; adds a warning if the path holds an object or a list of objects.
     fn read_scalar(&mut self, path: &str, expected: &str) -> Option<&'a str> {
         if let Some((json_path, description)) = self.pairs.nested.get(path) {
             self.findings.add_warning(json_path, expected, *description);
         }
-        self.text(path)
+        self.read_text(path)
     }
 
     /// Records that `default` is used for an absent setting, unless the setting is optional.
@@ -246,7 +246,7 @@
         let expected = || choices.iter().map(|(keyword, _)| *keyword).collect::<Vec<_>>().join(" or ");
         let text = match self.pairs.nested.contains_key(path) {
             true => self.read_scalar(path, &expected())?,
-            false => self.text(path).or_else(|| {
+            false => self.read_text(path).or_else(|| {
                 self.record_default(path, "none");
                 None
             })?,
@@ -312,7 +312,7 @@
         serial_key_cooldown: reader.read_whole("rules.settle-after-doubt", 0),
         full_may_have_run: reader.read_bool("rules.may-shed-begun"),
         utilization_index: reader
-            .text("report.fields")
+            .read_text("report.fields")
             .and_then(|fields| fields.split(',').position(|field| field == "util")),
     };
     (settings, RequestNames { classes: class_names, tenants: tenant_names })
@@ -329,7 +329,7 @@
 ) -> (Vec<T>, Vec<String>) {
     let count_path = format!("{path}.count");
     const EXPECTED: &str = "a list of objects";
-    if reader.text(&count_path).is_none() {
+    if reader.read_text(&count_path).is_none() {
         if let Some(text) = reader.read_scalar(path, EXPECTED) {
             reader.findings.add_warning(reader.pairs.finding_path(path), EXPECTED, quote(text));
         }
@@ -342,7 +342,7 @@
     }
     let read_with_name = |i| {
         let item_path = format!("{path}.{i}");
-        let name = reader.text(&format!("{item_path}.name")).unwrap_or("").to_owned();
+        let name = reader.read_text(&format!("{item_path}.name")).unwrap_or("").to_owned();
         (read_item(reader, &item_path), name)
     };
     (0..count).map(read_with_name).unzip()
