--- a/src/bin/woodgap/client_connection.rs
+++ b/src/bin/woodgap/client_connection.rs
@@ -29,12 +29,12 @@
 mod framing;
 
 /// Longest time in which a request must arrive completely, from the connect for the first request and from
-/// its first byte for a later one. Clients that send nothing or very slowly hold a place that other clients
+/// its first byte for a later one. Clients that send nothing or very slowly hold a socket that other clients
 /// need.
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest idle time between two requests.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Where places for connections are short, a connection without an open request may be closed after it was
+/// When client sockets are short, a connection without an open request may be closed after it was
 /// idle for this long...
 const EVICTABLE_IDLE: Duration = Duration::from_secs(2);
 /// ...or, before its first request, after this shorter time.
@@ -189,8 +189,8 @@
         }
     }
 
-    /// How readily the connection is closed where places are short: the highest score first, and none below
-    /// 1.
+    /// How readily the connection is closed when client sockets are short: the highest score first, and none
+    /// below 1.
     pub fn eviction_score(&self) -> f64 {
         let evictable_after = match self.phase.get() {
             Phase::New => EVICTABLE_UNUSED,
--- a/src/bin/woodgap/client_connection/tests.rs
+++ b/src/bin/woodgap/client_connection/tests.rs
@@ -121,7 +121,7 @@
     tokio::join!(close, read);
 }
 
-// A client that never closes holds its place only for a bounded time, and not if the place is needed.
+// A client that never closes holds its socket only for a bounded time, and not if the socket is needed.
 #[tokio::test]
 async fn lingering_is_bounded_and_ends_on_a_close_request() {
     let (connection, _client) = connect().await;
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -79,6 +79,7 @@
     refusal_sockets: Rc<SocketBudget>,
     /// Knows whether the audit has taken the node out of service.
     witness: Option<Rc<Witness>>,
+    /// Hands requests and disconnects to the driver.
     driver: mpsc::UnboundedSender<Msg>,
     next_request_id: Cell<u64>,
     /// Requests that hold memory: from the arrival of their head to their response.
@@ -148,9 +149,10 @@
         }
     }
 
-    /// Takes permits for a new connection, and tells whether the connection is only to be refused. Where no
-    /// permit is free, a connection without an open request is closed, or else a permit for refusals is
-    /// taken. Waiting for one of those is short: refusals take a second at most.
+    /// Takes the permits for a new connection; the flag tells whether the connection is only to be refused.
+    /// If the client sockets or the process's sockets are used up, a connection without an open request is
+    /// closed and its permits are taken over. If there is none to close, a permit for refusals is taken, and
+    /// the wait for one is short: a refusal takes `LAST_REQUEST_TIMEOUT` at most.
     async fn acquire_permits(&self) -> ((SocketPermit, Option<SocketPermit>), bool) {
         loop {
             if let Some(client_permit) = self.client_sockets.try_acquire() {
@@ -180,7 +182,8 @@
     }
 
     /// Closes connections whose request takes too long to arrive and those that are idle for too long, until
-    /// the process ends. Silent and very slow clients would otherwise hold all places.
+    /// the process ends. Silent and very slow clients would otherwise hold all client
+    /// sockets.
     async fn close_overdue_connections(self: Rc<Self>) {
         loop {
             sleep(OVERDUE_CHECK_INTERVAL).await;
@@ -196,8 +199,8 @@
         }
     }
 
-    /// Serves a connection until it ends. With `refuse` its first request is refused and the connection
-    /// closed.
+    /// Serves a connection until it ends. With `refuse` its first request is refused, and then the connection
+    /// is closed.
     async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -319,13 +322,8 @@
             "/-/ready" if request.method() == Method::GET => {
                 let is_out = self.witness.as_ref().is_some_and(|witness| witness.is_shut_out());
                 let is_ready = self.drain_deadline.get().is_none() && !is_out;
-                (
-                    text_response(
-                        if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
-                        "",
-                    ),
-                    true,
-                )
+                let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+                (text_response(status, ""), true)
             }
             "/api" => match self.forward_request(request, connection, body_deadline).await {
                 Ok(response) => (response, true),
--- a/src/bin/woodgap/guards.rs
+++ b/src/bin/woodgap/guards.rs
@@ -1,4 +1,4 @@
-//! Values that release a resource when they are dropped: running tasks and places for open sockets.
+//! Values that release a resource when they are dropped: running tasks and permits for open sockets.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -28,7 +28,7 @@
     used: Cell<usize>,
 }
 
-/// The right to hold one socket open; dropping it returns the place to the budget.
+/// The right to hold one socket open; dropping it returns the right to the budget.
 pub struct SocketPermit(Rc<SocketBudget>);
 
 impl SocketBudget {
@@ -37,7 +37,7 @@
         Rc::new(SocketBudget { limit, used: Cell::new(0) })
     }
 
-    /// Whether no place is free.
+    /// Whether all permits are taken.
     pub fn is_full(&self) -> bool {
         self.used.get() >= self.limit
     }
@@ -47,7 +47,7 @@
         self.used.get() as f64 / self.limit.max(1) as f64
     }
 
-    /// Takes a place if one is free.
+    /// Takes a permit if one is free.
     pub fn try_acquire(self: &Rc<Self>) -> Option<SocketPermit> {
         if self.is_full() {
             return None;
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and what is rejected.
+//! Forwarding of requests and responses, and rejection of malformed ones.
 
 use std::io::{BufReader, Write};
 
--- a/tests/node/resource_limits.rs
+++ b/tests/node/resource_limits.rs
@@ -22,7 +22,7 @@
     let mut watch = site.watch_from(41);
     chunk(&mut watch, "\n");
     drop(watch);
-    let crowd: Vec<_> = (0..100).map(|_| site.dial()).collect();
+    let idle_clients: Vec<_> = (0..100).map(|_| site.dial()).collect();
     until("served", || site.ask("pay", "1").status() == 200);
     // Discovery is back and lists one server less.
     let list = json!({"revision": 50, "complete": true, "members": site.members[1..]});
@@ -32,7 +32,7 @@
         let served = (0..6).filter(|n| site.ask("pay", &format!("2-{n}")).status() == 200).count();
         served > 0 && site.requests().iter().all(|(server, _)| *server == 1)
     });
-    drop(crowd);
+    drop(idle_clients);
 }
 
 // The kernel's limit on file descriptors is lower than the configured one: accepting and dialling fail until
@@ -41,7 +41,7 @@
 fn a_node_without_descriptors_recovers() {
     let site = Site::with(1, json!({"sockets": 4_000}));
     limit_descriptors(&site, "24");
-    let crowd: Vec<_> = (0..60)
+    let clients: Vec<_> = (0..60)
         .map(|n| {
             let mut stream = site.dial();
             let _ = stream.write_all(&request("look", &format!("c{n}"), 60_000));
@@ -49,7 +49,7 @@
         })
         .collect();
     until("the failure is logged", || site.log.try_iter().any(|line| line.contains("accept failed")));
-    drop(crowd);
+    drop(clients);
     until("served again", || site.ask("look", "after").status() == 200);
 }
 
@@ -63,18 +63,18 @@
         let mut silent: Vec<_> = (0..12).map(|_| BufReader::new(site.dial())).collect();
         // Connections without a request may be evicted after 500 ms.
         std::thread::sleep(std::time::Duration::from_millis(700));
-        let newcomers: Vec<_> = site.stopped(|| {
-            let newcomers = (0..6).map(|_| site.dial()).collect();
+        let new_connections: Vec<_> = site.stopped(|| {
+            let new_connections = (0..6).map(|_| site.dial()).collect();
             for (n, stream) in silent.iter_mut().enumerate() {
                 stream.get_mut().write_all(&request("pay", &format!("{round}-{n}"), 60_000)).unwrap();
             }
-            newcomers
+            new_connections
         });
         // Not every request gets a socket to a server, but no connection is closed without a response.
         for stream in &mut silent {
             assert!([200, 503].contains(&Message::read(stream).expect("a response").status()));
         }
-        drop((silent, newcomers));
+        drop((silent, new_connections));
         until("all sockets are free", || site.ask("pay", &format!("free{round}")).status() == 200);
     }
 }
