--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,12 @@
-//! A node under test, and the short names that the tests use.
+//! A balancer under test with a simulated clock, and builders for the values of its interface.
 #![allow(dead_code)]
 
 use woodgap::*;
 
+/// One second in the unit of the balancer's clock.
 pub const SECOND: Micros = 1_000_000;
 
+/// A class with these semantics.
 pub fn class(semantics: Semantics) -> Class {
     Class {
         aim: 500_000,
@@ -16,6 +18,7 @@
     }
 }
 
+/// Settings with one class of each kind of semantics: safe, unsafe, deduplicated per cell and deduplicated everywhere.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -36,6 +39,7 @@
     }
 }
 
+/// A server on a list. Servers alternate between two zones, and four of them share a cell.
 pub fn member(server: u32) -> Member {
     Member {
         server: ServerId(server),
@@ -47,15 +51,17 @@
     }
 }
 
-pub fn id(n: u64) -> RequestId {
+/// The id of request number `n`.
+pub fn request_id(n: u64) -> RequestId {
     let mut bytes = [b'0'; 36];
     bytes[..20].copy_from_slice(format!("{n:020}").as_bytes());
     RequestId(bytes)
 }
 
+/// Request number `n` of this class and key.
 pub fn request(n: u64, class: usize, key: u64) -> Request {
     Request {
-        id: id(n),
+        id: request_id(n),
         time_left: SECOND,
         class: ClassId(class),
         cost: None,
@@ -65,87 +71,98 @@
     }
 }
 
+/// A balancer and the time that it is told.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
 }
 
 impl Node {
+    /// A node that was started with these settings and this list.
     pub fn new(settings: Settings, members: Vec<Member>) -> Self {
         let mut node = Node { balancer: Balancer::new(settings, 1), now: 100 * SECOND };
-        node.event(Event::Sync { kind: SyncKind::Cached, members });
+        node.handle_event(Event::Sync { kind: SyncKind::Cached, members });
         node
     }
 
-    pub fn fleet(servers: u32) -> Self {
+    /// A node with the usual settings and this many servers.
+    pub fn with_servers(servers: u32) -> Self {
         Node::new(settings(), (0..servers).map(member).collect())
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.on_event(self.now, event, &mut out);
-        out
+    /// Passes an event to the balancer and returns its actions.
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.balancer.on_event(self.now, event, &mut actions);
+        actions
     }
 
-    pub fn ask(&mut self, n: u64, class: usize, key: u64) -> Vec<Action> {
-        self.event(Event::Request(request(n, class, key)))
+    /// Submits request number `n` of this class and key.
+    pub fn submit(&mut self, n: u64, class: usize, key: u64) -> Vec<Action> {
+        self.handle_event(Event::Request(request(n, class, key)))
     }
 
-    /// Asks and tells where the attempt went.
-    pub fn place(&mut self, n: u64, class: usize, key: u64) -> ServerId {
-        let actions = self.ask(n, class, key);
-        sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
+    /// Submits a request and returns the server that it was sent to.
+    pub fn route(&mut self, n: u64, class: usize, key: u64) -> ServerId {
+        let actions = self.submit(n, class, key);
+        sent_server(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
-    pub fn close(&mut self, n: u64, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
-        self.close_after(n, attempt, server, outcome, 20_000)
+    /// Reports the outcome of an attempt after 20 ms.
+    pub fn end_attempt(&mut self, n: u64, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
+        self.end_attempt_after(n, attempt, server, outcome, 20_000)
     }
 
-    pub fn close_after(
+    /// Reports the outcome of an attempt after the time spent on it.
+    pub fn end_attempt_after(
         &mut self,
         n: u64,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
-        spent: Micros,
+        elapsed: Micros,
     ) -> Vec<Action> {
-        let (id, done) = (id(n), outcome == Outcome::Ok);
-        self.event(Event::AttemptEnded(AttemptEnd {
+        let (id, is_request_done) = (request_id(n), outcome == Outcome::Ok);
+        self.handle_event(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             server,
             outcome,
-            elapsed: spent,
-            is_request_done: done,
+            elapsed,
+            is_request_done,
             load_report: vec![],
         }))
     }
 
+    /// Passes a list to the balancer.
     pub fn sync(&mut self, kind: SyncKind, members: Vec<Member>) -> Vec<Action> {
-        self.event(Event::Sync { kind, members })
+        self.handle_event(Event::Sync { kind, members })
     }
 
-    /// Lets time pass as a host would: the look-over timer fires on its way.
-    pub fn pass(&mut self, span: Micros) {
+    /// Advances the clock in steps of 100 ms, and fires the timer of the balancer's periodic sweep at each step.
+    pub fn advance_time(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += 100_000;
-            self.event(Event::TimerExpired(TimerId(1)));
+            self.handle_event(Event::TimerExpired(TimerId(1)));
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| match a {
+/// The server of the first attempt among the actions.
+pub fn sent_server(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+/// Whether the actions refuse a request.
+pub fn is_refused(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+/// Whether the actions fail a request.
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -8,13 +8,13 @@
 // late, so what is in flight is held down and the rest refused at once.
 #[test]
 fn late_answers_hold_down_what_is_in_flight() {
-    let mut node = Node::fleet(10);
+    let mut node = Node::with_servers(10);
     answer(&mut node, 0, 200, Outcome::Ok, 900_000);
-    let sent_on = (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (1000..1100).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)).is_some()).count();
     assert!(sent_on < 20, "{sent_on} in flight");
-    let mut fresh = Node::fleet(10);
+    let mut fresh = Node::with_servers(10);
     answer(&mut fresh, 0, 200, Outcome::Ok, 100_000);
-    let sent_on = (1000..1100).filter(|&n| sent(&fresh.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (1000..1100).filter(|&n| sent_server(&fresh.submit(n, UNSAFE, n)).is_some()).count();
     assert_eq!(sent_on, 100);
 }
 
@@ -23,35 +23,37 @@
 #[test]
 fn a_hung_server_does_not_hold_the_others_down() {
     let sent_on = |answers_others: bool, lost: u32| {
-        let mut node = Node::fleet(10);
-        let slow = node.place(0, UNSAFE, 5);
-        node.close(0, 0, slow, Outcome::Ok);
+        let mut node = Node::with_servers(10);
+        let slow = node.route(0, UNSAFE, 5);
+        node.end_attempt(0, 0, slow, Outcome::Ok);
         let mut out = vec![slow];
         for n in 10_000.. {
             if out.len() > lost as usize {
                 break;
             }
-            let server = node.place(n, UNSAFE, n);
+            let server = node.route(n, UNSAFE, n);
             let fails = !out.contains(&server);
-            let next = node.close(n, 0, server, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
-            if let Some(other) = sent(&next) {
-                node.close(n, 1, other, Outcome::Ok);
+            let next =
+                node.end_attempt(n, 0, server, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
+            if let Some(other) = sent_server(&next) {
+                node.end_attempt(n, 1, other, Outcome::Ok);
                 out.push(server);
             }
         }
-        node.pass(100_000);
-        let asked: Vec<u64> = (1..200).filter(|&n| sent(&node.ask(n, UNSAFE, n)) == Some(slow)).collect();
+        node.advance_time(100_000);
+        let asked: Vec<u64> =
+            (1..200).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)) == Some(slow)).collect();
         let (last, early) = asked.split_last().expect("some go there");
         assert!(early.len() > 5);
         node.now += SECOND / 2;
         if answers_others {
-            node.close(*last, 0, slow, Outcome::Ok);
+            node.end_attempt(*last, 0, slow, Outcome::Ok);
         }
         node.now += SECOND / 2;
         for &n in early {
-            node.close_after(n, 0, slow, Outcome::Timeout, SECOND);
+            node.end_attempt_after(n, 0, slow, Outcome::Timeout, SECOND);
         }
-        (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (1000..1100).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)).is_some()).count()
     };
     assert_eq!(sent_on(false, 0), 100);
     assert_eq!(sent_on(true, 0), 100);
@@ -66,14 +68,14 @@
         let mut node = Node::new(Settings { group_size: 100, ..settings() }, (0..60).map(member).collect());
         for n in 0..120 {
             let asked = node.now;
-            let Some(server) = sent(&node.ask(n, UNSAFE, n)) else { continue };
+            let Some(server) = sent_server(&node.submit(n, UNSAFE, n)) else { continue };
             node.now += 500_000;
             match u64::from(server.0) < hung {
-                true => drop(node.close_after(n, 0, server, Outcome::Timeout, node.now - asked)),
-                false => drop(node.close(n, 0, server, Outcome::Ok)),
+                true => drop(node.end_attempt_after(n, 0, server, Outcome::Timeout, node.now - asked)),
+                false => drop(node.end_attempt(n, 0, server, Outcome::Ok)),
             }
         }
-        (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (1000..1100).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)).is_some()).count()
     };
     assert_eq!(sent_on(2), 100);
     assert_eq!(sent_on(27), 100, "silence of fewer than half of them is no sign against the others");
@@ -83,14 +85,14 @@
 // Guards against refusing long after the trouble: the limit comes back by itself.
 #[test]
 fn the_limit_recovers() {
-    let mut node = Node::fleet(10);
+    let mut node = Node::with_servers(10);
     answer(&mut node, 0, 200, Outcome::Ok, 900_000);
     for second in 1..30 {
         answer(&mut node, second * 1000, 50, Outcome::Ok, 50_000);
-        node.pass(SECOND);
+        node.advance_time(SECOND);
     }
     assert_eq!(answer(&mut node, 90_000, 50, Outcome::Ok, 50_000), 0);
-    let sent_on = (100_000..100_030).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (100_000..100_030).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)).is_some()).count();
     assert_eq!(sent_on, 30);
 }
 
@@ -99,11 +101,11 @@
     let mut refusals = 0;
     for _ in 0..requests {
         *n += 1;
-        match sent(&node.ask(*n, SAFE, *n)) {
-            Some(server) => drop(node.close(*n, 0, server, Outcome::Ok)),
+        match sent_server(&node.submit(*n, SAFE, *n)) {
+            Some(server) => drop(node.end_attempt(*n, 0, server, Outcome::Ok)),
             None => refusals += 1,
         }
-        node.pass(if n.is_multiple_of(each) { 100_000 } else { 0 });
+        node.advance_time(if n.is_multiple_of(each) { 100_000 } else { 0 });
     }
     refusals
 }
@@ -120,7 +122,7 @@
         let mut second = |node: &mut Node| refusals(node, &mut n, 15, 1);
         (0..10).for_each(|_| assert_eq!(second(&mut node), 0));
         node.sync(SyncKind::Full, (gone..60).map(member).collect());
-        node.pass(100_000);
+        node.advance_time(100_000);
         for _ in 0..wait / SECOND {
             second(&mut node);
         }
@@ -145,7 +147,7 @@
     let mut second = |node: &mut Node| refusals(node, &mut n, 100, 10);
     (0..10).for_each(|_| assert_eq!(second(&mut node), 0));
     node.sync(SyncKind::Full, (12..60).map(member).collect());
-    node.pass(100_000);
+    node.advance_time(100_000);
     let lost: u32 = (0..3).map(|_| second(&mut node)).sum();
     assert!((30..100).contains(&lost), "{lost} of 300 with a fifth of the servers gone");
 }
@@ -156,23 +158,23 @@
 fn an_overload_refuses_the_same_keys_at_every_node() {
     // A fleet that does 300 a second is asked for 500; an answer takes as long as its queue is.
     let refused_part = |seed: u64| -> Vec<f64> {
-        let mut node = Node::fleet(10);
+        let mut node = Node::with_servers(10);
         node.balancer = Balancer::new(settings(), seed);
         node.sync(SyncKind::Cached, (0..10).map(member).collect());
         let (mut counts, mut out) = (vec![[0.0; 2]; 100], std::collections::VecDeque::new());
         for n in 0..20_000u64 {
             node.now += 2_000;
-            node.pass(if n % 50 == 0 { 100_000 } else { 0 });
+            node.advance_time(if n % 50 == 0 { 100_000 } else { 0 });
             let key = ((n + 20_000 * seed).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) % 100;
             counts[key as usize][0] += 1.0;
-            match sent(&node.ask(n, UNSAFE, key)) {
+            match sent_server(&node.submit(n, UNSAFE, key)) {
                 Some(server) => out.push_back((n, server)),
                 None => counts[key as usize][1] += 1.0,
             }
             if n % 5 < 3 && !out.is_empty() {
                 let spent = out.len() as u64 * 10_000 / 3;
                 let (n, server) = out.pop_front().unwrap();
-                node.close_after(n, 0, server, Outcome::Ok, spent);
+                node.end_attempt_after(n, 0, server, Outcome::Ok, spent);
             }
         }
         counts.iter().map(|[asked, refused]| refused / asked).collect()
@@ -190,21 +192,21 @@
 // first, and not again while its slots walk on.
 #[test]
 fn a_server_known_to_be_full_causes_no_refusals() {
-    let mut node = Node::fleet(10);
+    let mut node = Node::with_servers(10);
     let (full, mut refusals, mut seen) = (ServerId(3), 0, 0);
     for n in 0..2000 {
         node.now += 2_000;
-        let Some(server) = sent(&node.ask(n, UNSAFE, n)) else {
+        let Some(server) = sent_server(&node.submit(n, UNSAFE, n)) else {
             refusals += 1;
             continue;
         };
         if server != full {
-            node.close(n, 0, server, Outcome::Ok);
+            node.end_attempt(n, 0, server, Outcome::Ok);
             continue;
         }
         seen += 1;
-        if let Some(next) = sent(&node.close(n, 0, full, Outcome::Full)) {
-            node.close(n, 1, next, Outcome::Ok);
+        if let Some(next) = sent_server(&node.end_attempt(n, 0, full, Outcome::Full)) {
+            node.end_attempt(n, 1, next, Outcome::Ok);
         }
     }
     assert!(seen > 5 && refusals == 0, "{seen} full, {refusals} refused");
@@ -215,19 +217,19 @@
 #[test]
 fn late_answers_cut_the_limit_however_much_is_asked() {
     let in_flight = |asked_more: u64| {
-        let mut node = Node::fleet(10);
+        let mut node = Node::with_servers(10);
         let (mut n, mut out) = (0, std::collections::VecDeque::new());
         for _ in 0..400 {
             for _ in 0..=asked_more {
                 n += 1;
-                if let Some(server) = sent(&node.ask(n, UNSAFE, n)) {
+                if let Some(server) = sent_server(&node.submit(n, UNSAFE, n)) {
                     out.push_back((n, server));
                 }
             }
             if let Some((id_out, server)) = out.pop_front() {
-                node.close_after(id_out, 0, server, Outcome::Ok, 900_000);
+                node.end_attempt_after(id_out, 0, server, Outcome::Ok, 900_000);
             }
-            node.pass(100_000);
+            node.advance_time(100_000);
         }
         out.len()
     };
@@ -242,23 +244,24 @@
         let tenants = vec![Tenant { quota_per_s: 100.0 }];
         let settings = Settings { tenants, over_quota_worth: 0.1, servers_cache_keys: false, ..settings() };
         let mut node = Node::new(settings, (0..10).map(member).collect());
-        let held: Vec<_> = (0..200).map(|n| (n, node.place(n, UNSAFE, n))).collect();
+        let held: Vec<_> = (0..200).map(|n| (n, node.route(n, UNSAFE, n))).collect();
         answer(&mut node, 1_000, 60, Outcome::Ok, 900_000);
-        held.into_iter().for_each(|(n, server)| drop(node.close(n, 0, server, Outcome::Ok)));
+        held.into_iter().for_each(|(n, server)| drop(node.end_attempt(n, 0, server, Outcome::Ok)));
         // What is in flight is nearly at the limit: there is room for what lies inside the shares.
-        let open: Vec<_> =
-            (2_000..).map_while(|n| sent(&node.ask(n, UNSAFE, n)).map(|server| (n, server))).collect();
+        let open: Vec<_> = (2_000..)
+            .map_while(|n| sent_server(&node.submit(n, UNSAFE, n)).map(|server| (n, server)))
+            .collect();
         assert!(open.len() > 40, "{}", open.len());
         for &(n, server) in &open[..open.len() / 20 + 1] {
-            node.close(n, 0, server, Outcome::Ok);
+            node.end_attempt(n, 0, server, Outcome::Ok);
         }
         let mut refusals = 0;
         for n in 10_000..10_200 {
             let repeat = repeats && n % 4 != 0;
             let request =
                 Request { tenant: Some(TenantId(0)), is_client_retry: repeat, ..request(n, UNSAFE, n) };
-            match sent(&node.event(Event::Request(request))) {
-                Some(server) => drop(node.close(n, 0, server, Outcome::Ok)),
+            match sent_server(&node.handle_event(Event::Request(request))) {
+                Some(server) => drop(node.end_attempt(n, 0, server, Outcome::Ok)),
                 None => refusals += 1,
             }
         }
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -20,9 +20,9 @@
     let mut refusals = 0;
     for n in base..base + count {
         node.now += SECOND / count;
-        match sent(&node.ask(n, UNSAFE, n)) {
+        match sent_server(&node.submit(n, UNSAFE, n)) {
             Some(server) => {
-                node.close_after(n, 0, server, outcome, spent);
+                node.end_attempt_after(n, 0, server, outcome, spent);
             }
             None => refusals += 1,
         }
--- a/tests/decisions/sending.rs
+++ b/tests/decisions/sending.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn a_key_goes_to_one_server_at_every_node() {
-    let (mut a, mut b) = (Node::fleet(12), Node::new(settings(), (0..12).rev().map(member).collect()));
+    let (mut a, mut b) = (Node::with_servers(12), Node::new(settings(), (0..12).rev().map(member).collect()));
     b.balancer = Balancer::new(settings(), 77);
     b.sync(SyncKind::Cached, (0..12).rev().map(member).collect());
     for key in 0..200 {
-        let server = a.place(key, SAFE, key);
-        a.close(key, 0, server, Outcome::Ok);
-        assert_eq!(b.place(key, SAFE, key), server);
-        b.close(key, 0, server, Outcome::Ok);
+        let server = a.route(key, SAFE, key);
+        a.end_attempt(key, 0, server, Outcome::Ok);
+        assert_eq!(b.route(key, SAFE, key), server);
+        b.end_attempt(key, 0, server, Outcome::Ok);
     }
 }
 
@@ -21,10 +21,10 @@
 fn without_servers_requests_are_refused_at_once() {
     let mut node = Node::new(settings(), vec![]);
     for class in 0..4 {
-        assert!(refused(&node.ask(class as u64, class, 1)));
+        assert!(is_refused(&node.submit(class as u64, class, 1)));
     }
     node.sync(SyncKind::Full, vec![member(3)]);
-    assert_eq!(node.place(9, SAFE, 1), ServerId(3));
+    assert_eq!(node.route(9, SAFE, 1), ServerId(3));
 }
 
 #[test]
@@ -36,77 +36,77 @@
         (Outcome::Reset, false),
         (Outcome::Timeout, false),
     ] {
-        let mut node = Node::fleet(8);
-        let server = node.place(1, UNSAFE, 5);
-        let actions = node.close(1, 0, server, outcome);
-        assert_eq!(sent(&actions).is_some(), again, "{outcome:?}");
-        assert_eq!(failed(&actions), !again, "{outcome:?}");
-        assert!(!refused(&actions), "{outcome:?}");
-        assert_ne!(sent(&actions), Some(server));
+        let mut node = Node::with_servers(8);
+        let server = node.route(1, UNSAFE, 5);
+        let actions = node.end_attempt(1, 0, server, outcome);
+        assert_eq!(sent_server(&actions).is_some(), again, "{outcome:?}");
+        assert_eq!(is_failed(&actions), !again, "{outcome:?}");
+        assert!(!is_refused(&actions), "{outcome:?}");
+        assert_ne!(sent_server(&actions), Some(server));
     }
 }
 
 #[test]
 fn keyed_by_cell_stays_in_its_cell_and_time() {
-    let mut node = Node::fleet(16);
-    let first = node.place(1, KEYED_CELL, 5);
+    let mut node = Node::with_servers(16);
+    let first = node.route(1, KEYED_CELL, 5);
     node.now += 100_000;
-    let second = sent(&node.close(1, 0, first, Outcome::Reset)).expect("resent");
+    let second = sent_server(&node.end_attempt(1, 0, first, Outcome::Reset)).expect("resent");
     assert_eq!(first.0 / 4, second.0 / 4);
     assert_ne!(first, second);
     node.now += SECOND;
-    let actions = node.close(1, 1, second, Outcome::Reset);
-    assert!(failed(&actions) && !refused(&actions), "{actions:?}");
+    let actions = node.end_attempt(1, 1, second, Outcome::Reset);
+    assert!(is_failed(&actions) && !is_refused(&actions), "{actions:?}");
 }
 
 #[test]
 fn keyed_by_all_may_be_refused_after_it_may_have_run() {
-    let mut node = Node::fleet(1);
-    let first = node.place(1, KEYED_ALL, 5);
-    assert!(refused(&node.close(1, 0, first, Outcome::Reset)));
+    let mut node = Node::with_servers(1);
+    let first = node.route(1, KEYED_ALL, 5);
+    assert!(is_refused(&node.end_attempt(1, 0, first, Outcome::Reset)));
 }
 
 #[test]
 fn attempts_never_pass_their_bound() {
-    let mut node = Node::fleet(20);
-    let mut server = node.place(1, SAFE, 5);
+    let mut node = Node::with_servers(20);
+    let mut server = node.route(1, SAFE, 5);
     for n in 0..2 {
-        server = sent(&node.close(1, n, server, Outcome::ConnectFailed)).expect("resent");
+        server = sent_server(&node.end_attempt(1, n, server, Outcome::ConnectFailed)).expect("resent");
     }
-    let actions = node.close(1, 2, server, Outcome::ConnectFailed);
-    assert!(refused(&actions) && sent(&actions).is_none());
+    let actions = node.end_attempt(1, 2, server, Outcome::ConnectFailed);
+    assert!(is_refused(&actions) && sent_server(&actions).is_none());
 }
 
 #[test]
 fn draining_and_removed_servers_get_nothing_new() {
-    let mut node = Node::fleet(4);
+    let mut node = Node::with_servers(4);
     let mut draining = member(1);
     draining.state = ServerState::Terminating;
     node.sync(SyncKind::Delta, vec![draining]);
     for key in 0..300 {
-        let server = node.place(key, SAFE, key);
+        let server = node.route(key, SAFE, key);
         assert_ne!(server, ServerId(1));
-        node.close(key, 0, server, Outcome::Ok);
+        node.end_attempt(key, 0, server, Outcome::Ok);
     }
     node.sync(SyncKind::Full, vec![member(2)]);
     for key in 300..400 {
-        let server = node.place(key, SAFE, key);
+        let server = node.route(key, SAFE, key);
         assert_eq!(server, ServerId(2));
-        node.close(key, 0, server, Outcome::Ok);
+        node.end_attempt(key, 0, server, Outcome::Ok);
     }
 }
 
 #[test]
 fn a_hot_key_is_spread_over_several_owners() {
-    let mut node = Node::fleet(20);
+    let mut node = Node::with_servers(20);
     let mut seen = std::collections::BTreeSet::new();
     for n in 0..600 {
         let key = if n % 3 == 0 { 7 } else { n };
-        let server = node.place(n, SAFE, key);
+        let server = node.route(n, SAFE, key);
         if key == 7 && n > 300 {
             seen.insert(server);
         }
-        node.close(n, 0, server, Outcome::Ok);
+        node.end_attempt(n, 0, server, Outcome::Ok);
     }
     assert!(seen.len() >= 4, "{seen:?}");
 }
@@ -122,8 +122,8 @@
     let (mut large, mut seen) = (0u32, 0u32);
     // Of 20 hot keys each is to be found on some twenty slots, a fraction of the servers.
     for n in 0..12_000 {
-        let server = node.place(n, SAFE, n % 20);
-        node.close(n, 0, server, Outcome::Ok);
+        let server = node.route(n, SAFE, n % 20);
+        node.end_attempt(n, 0, server, Outcome::Ok);
         if n >= 2_000 {
             (large, seen) = (large + u32::from(server.0.is_multiple_of(3)), seen + 1);
         }
@@ -144,10 +144,10 @@
         node.sync(SyncKind::Full, (0..150).map(member).collect());
         for n in 0..400 {
             let key = if n % 100 == 50 { 7 } else { 1_000 + n };
-            let server = node.place(n, SAFE, key);
-            node.close(n, 0, server, Outcome::Ok);
+            let server = node.route(n, SAFE, key);
+            node.end_attempt(n, 0, server, Outcome::Ok);
         }
-        node.place(400, SAFE, 7)
+        node.route(400, SAFE, 7)
     };
     let owners: std::collections::BTreeSet<_> = (0..40).map(owner).collect();
     assert!(owners.len() >= 8, "{owners:?}");
@@ -162,10 +162,10 @@
         node.balancer = Balancer::new(Settings { group_size, ..settings() }, seed);
         node.sync(SyncKind::Full, (0..60).map(member).collect());
         for n in 0..met {
-            let server = node.place(n, SAFE, 1_000 + n);
-            node.close(n, 0, server, Outcome::Ok);
+            let server = node.route(n, SAFE, 1_000 + n);
+            node.end_attempt(n, 0, server, Outcome::Ok);
         }
-        node.place(9_999, SAFE, 7)
+        node.route(9_999, SAFE, 7)
     };
     let owners = |group_size: u32, met: u64| {
         let owners: std::collections::BTreeSet<_> =
@@ -178,16 +178,16 @@
 
 #[test]
 fn bad_uses_are_ignored() {
-    let mut node = Node::fleet(2);
-    assert!(node.close(1, 0, ServerId(0), Outcome::Ok).is_empty());
-    assert!(node.event(Event::RequestEnded(id(5))).is_empty());
-    let server = node.place(1, SAFE, 5);
-    assert!(node.close(1, 9, server, Outcome::Ok).is_empty());
-    assert!(node.ask(1, SAFE, 5).is_empty(), "an id still held");
-    node.close(1, 0, server, Outcome::Ok);
-    assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
-    assert!(refused(&node.ask(2, 99, 5)), "a class outside the settings");
-    node.event(Event::ProbeEnded {
+    let mut node = Node::with_servers(2);
+    assert!(node.end_attempt(1, 0, ServerId(0), Outcome::Ok).is_empty());
+    assert!(node.handle_event(Event::RequestEnded(request_id(5))).is_empty());
+    let server = node.route(1, SAFE, 5);
+    assert!(node.end_attempt(1, 9, server, Outcome::Ok).is_empty());
+    assert!(node.submit(1, SAFE, 5).is_empty(), "an id still held");
+    node.end_attempt(1, 0, server, Outcome::Ok);
+    assert!(node.end_attempt(1, 0, server, Outcome::Ok).is_empty());
+    assert!(is_refused(&node.submit(2, 99, 5)), "a class outside the settings");
+    node.handle_event(Event::ProbeEnded {
         server: ServerId(99),
         outcome: Outcome::Ok,
         elapsed: 1,
@@ -200,11 +200,11 @@
 fn full_is_no_proof_where_the_settings_say_so() {
     let settings = Settings { full_may_have_run: true, ..settings() };
     let mut node = Node::new(settings, (0..16).map(member).collect());
-    let server = node.place(1, UNSAFE, 5);
-    let actions = node.close(1, 0, server, Outcome::Full);
-    assert!(failed(&actions) && !refused(&actions) && sent(&actions).is_none());
-    let server = node.place(2, KEYED_CELL, 5);
-    let next = sent(&node.close(2, 0, server, Outcome::Full)).expect("its cell drops repeats");
+    let server = node.route(1, UNSAFE, 5);
+    let actions = node.end_attempt(1, 0, server, Outcome::Full);
+    assert!(is_failed(&actions) && !is_refused(&actions) && sent_server(&actions).is_none());
+    let server = node.route(2, KEYED_CELL, 5);
+    let next = sent_server(&node.end_attempt(2, 0, server, Outcome::Full)).expect("its cell drops repeats");
     assert_eq!(next.0 / 4, server.0 / 4);
 }
 
@@ -215,7 +215,7 @@
     let advice = |late_share: f64, heeded: Micros, allowed: bool| {
         let mut settings = Settings { sends_retry_after: allowed, max_retry_after: heeded, ..settings() };
         settings.classes[SAFE].late_share = late_share;
-        let actions = Node::new(settings, vec![]).ask(1, SAFE, 5);
+        let actions = Node::new(settings, vec![]).submit(1, SAFE, 5);
         match actions[..] {
             [Action::Refuse { retry_after, .. }] => retry_after,
             _ => panic!("{actions:?}"),
@@ -233,7 +233,7 @@
 #[test]
 fn no_early_time_out_where_a_resend_is_bound_to_a_cell() {
     let limit = |class| {
-        let actions = Node::fleet(8).ask(1, class, 5);
+        let actions = Node::with_servers(8).submit(1, class, 5);
         actions.iter().find_map(|a| match a {
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
@@ -241,13 +241,13 @@
     };
     assert_eq!(limit(KEYED_CELL), Some(SECOND));
     assert_eq!(limit(UNSAFE), Some(SECOND));
-    let mut node = Node::fleet(8);
+    let mut node = Node::with_servers(8);
     answer(&mut node, 0, 300, Outcome::Ok, 20_000);
     for n in 1000..1300 {
-        let server = node.place(n, SAFE, n);
-        node.close(n, 0, server, Outcome::Ok);
+        let server = node.route(n, SAFE, n);
+        node.end_attempt(n, 0, server, Outcome::Ok);
     }
-    let actions = node.ask(2000, SAFE, 5);
+    let actions = node.submit(2000, SAFE, 5);
     assert!(matches!(actions[..], [Action::Send { timeout, .. }] if timeout < SECOND / 2), "{actions:?}");
 }
 
@@ -255,13 +255,13 @@
 // the next server, so its attempt is given up only where an answer has become unlikely.
 #[test]
 fn a_heavy_request_is_not_given_up_early() {
-    let mut node = Node::fleet(10);
+    let mut node = Node::with_servers(10);
     for n in 0..300 {
-        let server = node.place(n, SAFE, n);
-        node.close(n, 0, server, Outcome::Ok);
+        let server = node.route(n, SAFE, n);
+        node.end_attempt(n, 0, server, Outcome::Ok);
     }
     // The mean is 20 ms by now.
-    let actions = node.ask(1000, SAFE, 5);
+    let actions = node.submit(1000, SAFE, 5);
     assert!(
         matches!(actions[..], [Action::Send { timeout, .. }] if (120_000..400_000).contains(&timeout)),
         "{actions:?}"
@@ -283,32 +283,32 @@
         (KEYED_CELL, Outcome::Reset, 500_000),
         (KEYED_ALL, Outcome::Timeout, 899_999),
     ] {
-        let mut node = Node::fleet(8);
-        let actions = node.ask(1, class, 5);
+        let mut node = Node::with_servers(8);
+        let actions = node.submit(1, class, 5);
         assert_eq!(begin(&actions), Some(None), "nothing has run yet");
-        let server = sent(&actions).unwrap();
+        let server = sent_server(&actions).unwrap();
         node.now += spent;
-        let actions = node.close_after(1, 0, server, outcome, spent);
+        let actions = node.end_attempt_after(1, 0, server, outcome, spent);
         assert_eq!(begin(&actions), Some(Some(900_000 - spent)), "{outcome:?}");
     }
     // One that never ran opens no window; the one after it does.
-    let mut node = Node::fleet(8);
-    let first = node.place(1, KEYED_ALL, 5);
+    let mut node = Node::with_servers(8);
+    let first = node.route(1, KEYED_ALL, 5);
     node.now += 200_000;
-    let actions = node.close_after(1, 0, first, Outcome::Full, 200_000);
+    let actions = node.end_attempt_after(1, 0, first, Outcome::Full, 200_000);
     assert_eq!(begin(&actions), Some(None));
-    let second = sent(&actions).unwrap();
+    let second = sent_server(&actions).unwrap();
     node.now += 100_000;
-    let actions = node.close_after(1, 1, second, Outcome::Error, 100_000);
+    let actions = node.end_attempt_after(1, 1, second, Outcome::Error, 100_000);
     assert_eq!(begin(&actions), Some(Some(800_000)));
     // Past it nothing goes out.
-    let mut node = Node::fleet(8);
-    let server = node.place(1, KEYED_ALL, 5);
+    let mut node = Node::with_servers(8);
+    let server = node.route(1, KEYED_ALL, 5);
     node.now += 900_000;
-    let actions = node.close_after(1, 0, server, Outcome::Timeout, 900_000);
-    assert!(sent(&actions).is_none() && refused(&actions), "{actions:?}");
+    let actions = node.end_attempt_after(1, 0, server, Outcome::Timeout, 900_000);
+    assert!(sent_server(&actions).is_none() && is_refused(&actions), "{actions:?}");
     // Safe ones may begin at any time.
-    let mut node = Node::fleet(8);
-    let server = node.place(1, SAFE, 5);
-    assert_eq!(begin(&node.close(1, 0, server, Outcome::Error)), Some(None));
+    let mut node = Node::with_servers(8);
+    let server = node.route(1, SAFE, 5);
+    assert_eq!(begin(&node.end_attempt(1, 0, server, Outcome::Error)), Some(None));
 }
--- a/tests/decisions/turns.rs
+++ b/tests/decisions/turns.rs
@@ -18,51 +18,51 @@
 #[test]
 fn requests_of_an_in_order_key_take_turns() {
     let mut node = ordered_fleet();
-    let first = node.place(1, UNSAFE, 5);
-    assert!(node.ask(2, UNSAFE, 5).is_empty(), "held");
-    assert!(sent(&node.ask(3, UNSAFE, 6)).is_some(), "another key is free");
-    assert!(sent(&node.ask(4, SAFE, 5)).is_some(), "another class is free");
-    assert!(sent(&node.close(1, 0, first, Outcome::Ok)).is_some(), "the second goes at once");
+    let first = node.route(1, UNSAFE, 5);
+    assert!(node.submit(2, UNSAFE, 5).is_empty(), "held");
+    assert!(sent_server(&node.submit(3, UNSAFE, 6)).is_some(), "another key is free");
+    assert!(sent_server(&node.submit(4, SAFE, 5)).is_some(), "another class is free");
+    assert!(sent_server(&node.end_attempt(1, 0, first, Outcome::Ok)).is_some(), "the second goes at once");
 }
 
 // Guards against sending while a timed-out attempt may still run: the key rests.
 #[test]
 fn a_key_rests_after_doubt() {
     let mut node = ordered_fleet();
-    let first = node.place(1, UNSAFE, 5);
-    node.ask(2, UNSAFE, 5);
-    let actions = node.close(1, 0, first, Outcome::Reset);
-    assert!(failed(&actions) && sent(&actions).is_none());
+    let first = node.route(1, UNSAFE, 5);
+    node.submit(2, UNSAFE, 5);
+    let actions = node.end_attempt(1, 0, first, Outcome::Reset);
+    assert!(is_failed(&actions) && sent_server(&actions).is_none());
     let timer = actions.iter().find_map(|a| match a {
         Action::SetTimer { delay: 200_000, timer } => Some(*timer),
         _ => None,
     });
     node.now += 200_000;
-    assert!(sent(&node.event(Event::TimerExpired(timer.expect("set")))).is_some());
+    assert!(sent_server(&node.handle_event(Event::TimerExpired(timer.expect("set")))).is_some());
 }
 
 // Guards against an ended request's withdrawn attempt running beside the next one of its key.
 #[test]
 fn a_lapsed_request_keeps_the_turn_until_its_attempt_is_over() {
     let mut node = ordered_fleet();
-    let first = node.place(1, UNSAFE, 5);
-    node.ask(2, UNSAFE, 5);
-    assert!(sent(&node.event(Event::RequestEnded(id(1)))).is_none());
-    assert!(sent(&node.close(1, 0, first, Outcome::Ok)).is_some());
+    let first = node.route(1, UNSAFE, 5);
+    node.submit(2, UNSAFE, 5);
+    assert!(sent_server(&node.handle_event(Event::RequestEnded(request_id(1)))).is_none());
+    assert!(sent_server(&node.end_attempt(1, 0, first, Outcome::Ok)).is_some());
 }
 
 // Guards against answering too late what waits behind a silent server, and against queues without end.
 #[test]
 fn what_cannot_get_its_turn_in_time_is_refused() {
     let mut node = ordered_fleet();
-    node.place(1, UNSAFE, 5);
-    let held = (2..40).filter(|&n| !refused(&node.ask(n, UNSAFE, 5))).count();
+    node.route(1, UNSAFE, 5);
+    let held = (2..40).filter(|&n| !is_refused(&node.submit(n, UNSAFE, 5))).count();
     assert!((1..10).contains(&held), "{held} held");
     let mut refusals = 0;
     while node.now < 101 * SECOND {
         node.now += 100_000;
         refusals += node
-            .event(Event::TimerExpired(TimerId(1)))
+            .handle_event(Event::TimerExpired(TimerId(1)))
             .iter()
             .filter(|a| matches!(a, Action::Refuse { .. }))
             .count();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -88,7 +88,7 @@
     }
 
     fn event(&mut self, event: Event) {
-        let actions = self.node.event(event);
+        let actions = self.node.handle_event(event);
         for action in actions {
             self.check(action);
         }
@@ -198,7 +198,7 @@
             self.rests.insert(key, self.node.now + self.settings.serial_key_cooldown);
         }
         let (server, spent) = (sent.member.server, self.node.now - sent.at);
-        let (id, attempt, load) = (id(n), attempt as u32, vec![]);
+        let (id, attempt, load) = (request_id(n), attempt as u32, vec![]);
         self.event(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
@@ -268,7 +268,7 @@
                 if !open.is_empty() {
                     let n = open[pick % open.len()];
                     self.held.get_mut(&n).unwrap().ended = true;
-                    self.event(Event::RequestEnded(id(n)));
+                    self.event(Event::RequestEnded(request_id(n)));
                 }
             }
             Step::List { full, servers } => {
@@ -352,15 +352,15 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let run = || {
-        let mut node = Node::fleet(9);
+        let mut node = Node::with_servers(9);
         let mut all = Vec::new();
         for n in 0..500 {
-            let actions = node.ask(n, (n % 4) as usize, n % 17);
-            if let Some(server) = sent(&actions) {
-                all.extend(node.close(n, 0, server, [Outcome::Ok, Outcome::Full][n as usize % 2]));
+            let actions = node.submit(n, (n % 4) as usize, n % 17);
+            if let Some(server) = sent_server(&actions) {
+                all.extend(node.end_attempt(n, 0, server, [Outcome::Ok, Outcome::Full][n as usize % 2]));
             }
             all.extend(actions);
-            node.pass(50_000);
+            node.advance_time(50_000);
         }
         all
     };
@@ -380,13 +380,14 @@
         for window in 0..9 {
             let (per_window, mut counts) = (2_000u64, [0u32; 12]);
             for n in 0..per_window {
-                node.pass(if n % 200 == 0 { 100_000 } else { 0 });
+                node.advance_time(if n % 200 == 0 { 100_000 } else { 0 });
                 let n = window * per_window + n;
-                let Some(server) = sent(&node.ask(n, SAFE_CLASS, if n % 5 == 0 { 7 } else { n })) else {
+                let Some(server) = sent_server(&node.submit(n, SAFE_CLASS, if n % 5 == 0 { 7 } else { n }))
+                else {
                     continue;
                 };
                 counts[server.0 as usize] += 1;
-                node.close(n, 0, server, Outcome::Ok);
+                node.end_attempt(n, 0, server, Outcome::Ok);
             }
             // The requests are what the fleet does when it is warm.
             let warmth = settings.start_capacity + (1.0 - settings.start_capacity) * window as f64 / 10.0;
@@ -414,7 +415,7 @@
         let due = due.expect("a timer to ask by");
         assert!(due < settings.max_unsubscribed_time, "{due}");
         node.now += due;
-        assert_eq!(node.event(Event::TimerExpired(TimerId(2))), vec![Action::Subscribe]);
+        assert_eq!(node.handle_event(Event::TimerExpired(TimerId(2))), vec![Action::Subscribe]);
         first = node.sync(SyncKind::Failed, vec![]);
     }
 }
