--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -46,9 +46,13 @@
 
 /// A request as the node sends it to servers: a client's, without its hop-by-hop headers, or a probe.
 pub struct OutgoingRequest {
+    /// GET or POST.
     pub method: Method,
+    /// The path and query.
     pub target: Uri,
+    /// The headers that every attempt carries; `build_request` adds those of the attempt.
     pub headers: HeaderMap,
+    /// The complete body.
     pub body: Bytes,
     /// The request was answered or its client disconnected: no further attempt may be written.
     pub is_finished: Cell<bool>,
@@ -58,6 +62,7 @@
 }
 
 impl OutgoingRequest {
+    /// A request of which nothing was sent yet.
     pub fn new(method: Method, target: Uri, headers: HeaderMap, body: Bytes) -> Self {
         OutgoingRequest {
             method,
@@ -144,7 +149,9 @@
     /// A complete response.
     Response {
         status: StatusCode,
+        /// The headers as the server sent them.
         headers: HeaderMap,
+        /// The complete body.
         body: Bytes,
         /// Whether the response leaves the connection usable for another request.
         allows_reuse: bool,
--- a/src/bin/woodgap/request.rs
+++ b/src/bin/woodgap/request.rs
@@ -19,6 +19,7 @@
 const UNIQUE_OTHER_HEADERS: [&str; 8] =
     ["x-txn", "x-lane", "x-org", "x-remaining-ms", "x-resent", "x-estimate", "x-labels", "idempotency-key"];
 
+/// Body of the 400 for a method or a body that requests of the class must not have.
 const CLASS_MISMATCH: &str = "the method or the body does not fit the class\n";
 
 /// Why a request is rejected: the status and body of the response.
@@ -42,6 +43,7 @@
     pub is_client_retry: bool,
     /// The client's estimate of the work, from `X-Estimate`.
     pub cost: Option<Micros>,
+    /// GET for a safe class, POST for another.
     pub method: Method,
     /// The path and query.
     pub target: Uri,
