--- a/crates/audit/src/config.rs
+++ b/crates/audit/src/config.rs
@@ -30,7 +30,8 @@
     /// for a shared one.
     #[serde(rename = "shared")]
     pub shared_cause_part: f64,
-    /// The largest part of a pool or zone that may be shut out, draining or lost at once; one node always may.
+    /// The largest part of a pool or zone that may be unavailable at once: shut out, draining or with an expired
+    /// lease. One node always may be.
     #[serde(rename = "most_out")]
     pub max_unavailable_part: f64,
     /// How many nodes have to crash within `crash_window_ms` after acting on a revision, or reject it, to halt the
@@ -108,12 +109,12 @@
         errors
     }
 
-    /// How many of `total` nodes may be behind at once before the cause is taken for a shared one: always two.
+    /// How many of `total` nodes may be behind at once before the cause is taken for a shared one: at least two.
     pub fn max_behind(&self, total: usize) -> usize {
         ((total as f64 * self.shared_cause_part).floor() as usize).max(2)
     }
 
-    /// How many of `total` nodes may be shut out, draining or lost at once: always one.
+    /// How many of `total` nodes may be shut out, draining or with an expired lease at once: at least one.
     pub fn max_unavailable(&self, total: usize) -> usize {
         ((total as f64 * self.max_unavailable_part).floor() as usize).max(1)
     }
--- a/crates/audit/src/escalation.rs
+++ b/crates/audit/src/escalation.rs
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Readmits a node on probation, given evidence from after it was shut out and after every attempt from before
-    /// then has arrived. A node whose reports were contradicted is readmitted only as a new process.
+    /// Readmits a node on probation if there is evidence that it is up to date, dated more than `max_flight_ms`
+    /// after it was shut out: by then all attempts from before have arrived. A node whose reports were contradicted
+    /// is readmitted only as a new process.
     fn readmit(&mut self, name: &str) {
         let (now, floor, max_flight_ms) = (self.now, self.floor, self.config.max_flight_ms);
         let Some(node) = self.nodes.get_mut(name) else { return };
@@ -174,8 +175,8 @@
         }
     }
 
-    /// Returns the node's pool or zone if as many of its other nodes are unavailable as may be. The node itself is
-    /// not counted: its own expired lease or drain does not keep it from being shut out.
+    /// Returns the node's pool or zone if so many other nodes there are unavailable that no more may be shut out.
+    /// The node itself is not counted: its own expired lease or drain does not keep it from being shut out.
     fn find_exhausted_scope(&self, name: &str, node: &Node) -> Option<String> {
         for (key, key_of) in [(pool_key(node), pool_key as fn(&Node) -> String), (zone_key(node), zone_key)] {
             let in_scope = || self.nodes.iter().filter(|(_, other)| key_of(other) == key);
@@ -187,7 +188,8 @@
         None
     }
 
-    /// Updates for which pools and zones a shared cause is assumed, because too many nodes are behind at once.
+    /// Updates the pools and zones for which a shared cause is assumed, because too many of their nodes are behind
+    /// at once.
     fn detect_shared_causes(&mut self) {
         let mut counts: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         for node in self.nodes.values() {
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -90,8 +90,8 @@
         #[serde(rename = "why")]
         reason: String,
     },
-    /// So many nodes of a pool or zone are behind at once that the cause is taken for a shared one: no node of it
-    /// is escalated further.
+    /// So many nodes of the pool or zone `scope` are behind at once that the cause is taken for a shared one: none
+    /// of its nodes is escalated further.
     #[serde(rename = "shared")]
     SharedCauseFound {
         #[serde(rename = "place")]
@@ -100,7 +100,7 @@
         #[serde(rename = "all")]
         total: usize,
     },
-    /// The pool or zone no longer has too many nodes behind at once.
+    /// The pool or zone `scope` no longer has too many nodes behind at once.
     #[serde(rename = "not_shared")]
     SharedCauseCleared {
         #[serde(rename = "place")]
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,9 +7,9 @@
 //! 2. Evidence is dated by the time *after* which it certainly held ([`Timestamp`]), so neither a slow network nor
 //!    a wrong clock can make an up-to-date node look behind.
 //! 3. No node is shut out from full admission if more than the configured part of its pool or zone would then be
-//!    unavailable: shut out, draining or lost; one node always may be. A node that falls behind on probation is shut
-//!    out at once. Where more nodes are behind at once than the configuration allows, the cause is taken for a
-//!    shared one: escalation stops there and the history records it.
+//!    unavailable: shut out, draining or with an expired lease; one node always may be. A node that falls behind on
+//!    probation is shut out at once. Where more nodes are behind at once than the configuration allows, the cause is
+//!    taken for a shared one: escalation stops there and the history records it.
 //! 4. The floor falls only by an operator's command, never rises above a revision that an up-to-date node still
 //!    uses, and never reaches a revision after which nodes crashed or which they rejected.
 //! 5. The history is bounded and chained by hash, so that a changed or missing entry is detected.
@@ -89,8 +89,8 @@
             Event::DrainChanged { node, is_draining } => self.set_draining(node, *is_draining),
             Event::Reported(report) => self.apply_report(report),
             Event::Observed { server, observations } => {
-                let kept = observations.iter().take(self.config.max_observations);
-                kept.for_each(|observation| self.apply_observation(server, observation));
+                let accepted = observations.iter().take(self.config.max_observations);
+                accepted.for_each(|observation| self.apply_observation(server, observation));
             }
             Event::ListForwarded { node, forwarded_revision, agent_revision } => {
                 self.record_forwarding(node, *forwarded_revision, *agent_revision);
--- a/crates/audit/src/node.rs
+++ b/crates/audit/src/node.rs
@@ -26,10 +26,10 @@
 pub struct Evidence {
     /// The revision that the node acted on.
     pub revision: Revision,
-    /// The oldest revision that the node was allowed to act on at that time.
+    /// The oldest revision that the node was still allowed to act on when it decided.
     #[serde(rename = "needed")]
     pub required: Revision,
-    /// When the node acted on the revision.
+    /// When the node sent the report, or when the server observed the last of the attempts.
     pub at: Timestamp,
     /// Who provided the evidence.
     #[serde(rename = "by")]
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether the node is shut out, draining or lost.
+    /// Whether the node is shut out, is draining or has an expired lease.
     pub fn is_unavailable(&self) -> bool {
         self.is_draining || self.is_lease_expired || self.admission == Admission::ShutOut
     }
--- a/crates/audit/src/queries.rs
+++ b/crates/audit/src/queries.rs
@@ -40,7 +40,8 @@
 pub struct Propagation {
     /// The revision.
     pub revision: Revision,
-    /// When the revision was committed: log time, and the leader's wall clock.
+    /// When the revision was committed: log time, and the leader's wall clock in Unix milliseconds (0 where that is
+    /// not known).
     pub committed: (Ms, u64),
     /// The number of nodes that were present at the commit, less those that were removed before they had acted.
     #[serde(rename = "nodes")]
--- a/crates/audit/src/revisions.rs
+++ b/crates/audit/src/revisions.rs
@@ -31,7 +31,7 @@
     /// The log time of the commit.
     #[serde(rename = "at")]
     pub(crate) committed_at: Ms,
-    /// The leader's wall clock at the commit.
+    /// The leader's wall clock at the commit in Unix milliseconds; 0 where it is not known.
     pub(crate) unix_ms: u64,
     /// The number of nodes that were present at the commit, less those that were removed before they had acted.
     #[serde(rename = "nodes")]
--- a/crates/audit/tests/schedules/world.rs
+++ b/crates/audit/tests/schedules/world.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub const SERVERS: usize = 3;
+pub const SERVER_COUNT: usize = 3;
 /// The longest step of the simulation. A healthy node acts on a revision before its grace time is over, at the last
 /// step that still allows it.
 const MAX_STEP_MS: Ms = 700;
@@ -275,7 +275,7 @@
                 first: at,
                 last: at,
             };
-            let server = format!("s{}", self.rng.random_range(0..SERVERS));
+            let server = format!("s{}", self.rng.random_range(0..SERVER_COUNT));
             self.in_transit.push((arrives_at, Event::Observed { server, observations: vec![observation] }));
         }
     }
--- a/crates/registry/src/lease.rs
+++ b/crates/registry/src/lease.rs
@@ -5,8 +5,9 @@
 use crate::{Ms, Role, State};
 
 impl State {
-    /// Advances log time and lets leases expire, as far as the guard against mass expiry allows. A tick counts for
-    /// `max_tick_ms` at most: the time for which a leader was suspended must not count as silence of the members.
+    /// Advances log time, forgets old request ids and lets leases expire, as far as the guard against mass expiry
+    /// allows. A tick counts for `max_tick_ms` at most: the time for which a leader was suspended must not count as
+    /// silence of the members.
     pub(crate) fn tick(&mut self, index: u64, elapsed_ms: Ms) {
         self.now += elapsed_ms.min(self.config.max_tick_ms);
         let now = self.now;
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -129,7 +129,7 @@
             return outcome.clone();
         }
         let has_request_id = !proposal.request.is_empty();
-        // A command whose id can't be remembered is refused: if it were carried out, a retry would carry it out again.
+        // If a command were carried out whose id can't be remembered, a retry would carry it out again.
         if has_request_id && self.request_outcomes.len() >= self.config.max_requests {
             let reason = format!(
                 "requests: {} ids are remembered and there is room for no more",
@@ -323,7 +323,8 @@
         self.now
     }
 
-    /// A version that changes whenever the audit's directives (floor, admissions, escalation steps) may have changed.
+    /// A version that changes whenever the audit's directives may have changed: the floor, admissions and escalation
+    /// steps.
     pub fn directives_version(&self) -> u64 {
         self.directives_version
     }
--- a/crates/registry/tests/drawn.rs
+++ b/crates/registry/tests/drawn.rs
@@ -1,4 +1,5 @@
-//! The registry's guarantees, checked on random commands with fixed seeds.
+//! The registry's guarantees, checked on random commands with fixed seeds against a second replica and a minimal
+//! model: the outcomes that were returned and the lists of a few watchers.
 
 use std::collections::BTreeMap;
 
