--- a/tests/node/disconnects.rs
+++ b/tests/node/disconnects.rs
@@ -5,7 +5,7 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-use crate::site::*;
+use crate::harness::*;
 
 /// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     match how {
         Disconnect::Close => drop(stream),
         Disconnect::Reset => {
-            reset(&stream);
+            reset_on_close(&stream);
             drop(stream);
         }
         Disconnect::HalfClose => {
@@ -34,14 +34,14 @@
 
 /// Waits until this many server connections have closed; returns the ids of the requests that arrived
 /// meanwhile.
-fn wait_until_closed(site: &Site, connections: usize) -> Vec<String> {
+fn wait_until_closed(harness: &Harness, connections: usize) -> Vec<String> {
     let (mut closed, mut requests) = (0, Vec::new());
     let start = Instant::now();
     while closed < connections {
-        assert!(start.elapsed() < PATIENCE, "{closed} of {connections} attempts ended");
-        match site.seen.recv_timeout(PATIENCE) {
-            Ok(Seen::Closed) => closed += 1,
-            Ok(Seen::Request(_, message)) => requests.push(message.header("x-txn").to_owned()),
+        assert!(start.elapsed() < TEST_TIMEOUT, "{closed} of {connections} attempts ended");
+        match harness.server_events.recv_timeout(TEST_TIMEOUT) {
+            Ok(ServerEvent::ConnectionClosed) => closed += 1,
+            Ok(ServerEvent::Request(_, message)) => requests.push(message.header("x-txn").to_owned()),
             Err(error) => panic!("{closed} of {connections} attempts ended: {error}"),
         }
     }
@@ -54,16 +54,16 @@
 fn a_close_behind_further_requests_is_noticed() {
     for how in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
         for ahead in [0, 1, 300] {
-            let site = Site::new(1);
-            site.all_do(Does::Hang);
-            let mut stream = site.dial();
-            stream.write_all(&request("look", "first", 60_000)).unwrap();
-            assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+            let harness = Harness::new(1);
+            harness.set_behavior(Behavior::Hang);
+            let mut stream = harness.connect();
+            stream.write_all(&request_bytes("look", "first", 60_000)).unwrap();
+            assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(..))));
             for n in 0..ahead {
-                stream.write_all(&request("look", &format!("ahead{n}"), 60_000)).unwrap();
+                stream.write_all(&request_bytes("look", &format!("ahead{n}"), 60_000)).unwrap();
             }
             let _half_closed = disconnect(stream, how);
-            assert_eq!(wait_until_closed(&site, 1), [""; 0], "{how:?} behind {ahead}");
+            assert_eq!(wait_until_closed(&harness, 1), [""; 0], "{how:?} behind {ahead}");
         }
     }
 }
@@ -73,59 +73,62 @@
 #[test]
 fn a_client_that_floods_behind_a_request_gets_its_response_and_no_more() {
     use std::io::Read;
-    let site = Site::new(1);
-    site.all_do(Does::Hold);
-    let mut stream = site.dial();
-    stream.write_all(&request("look", "first", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
-    (0..3_000).for_each(|n| stream.write_all(&request("look", &format!("ahead{n}"), 60_000)).unwrap());
-    site.all_do(Does::Serve);
+    let harness = Harness::new(1);
+    harness.set_behavior(Behavior::Hold);
+    let mut stream = harness.connect();
+    stream.write_all(&request_bytes("look", "first", 60_000)).unwrap();
+    assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(..))));
+    (0..3_000).for_each(|n| stream.write_all(&request_bytes("look", &format!("ahead{n}"), 60_000)).unwrap());
+    harness.set_behavior(Behavior::Serve);
     let mut received = String::new();
     stream.read_to_string(&mut received).expect("an orderly close");
     assert!(received.starts_with("HTTP/1.1 200 OK\r\n") && received.ends_with("\r\n\r\nfirst"), "{received}");
     assert!(received.to_lowercase().contains("connection: close"), "{received}");
-    assert!(site.requests().is_empty());
+    assert!(harness.take_requests().is_empty());
 }
 
 // Each disconnect must end its attempt, also when 200 clients disconnect at the same time.
 #[test]
 fn attempts_of_many_clients_that_disconnect_at_once_end() {
-    let site = Site::with(1, serde_json::json!({"sockets": 900}));
-    site.all_do(Does::Hang);
+    let harness = Harness::with_limits(1, serde_json::json!({"sockets": 900}));
+    harness.set_behavior(Behavior::Hang);
     let clients: Vec<TcpStream> = (0..200)
         .map(|n| {
-            let mut stream = site.dial();
-            stream.write_all(&request("look", &format!("{n}"), 60_000)).unwrap();
-            assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+            let mut stream = harness.connect();
+            stream.write_all(&request_bytes("look", &format!("{n}"), 60_000)).unwrap();
+            assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(..))));
             stream
         })
         .collect();
     drop(clients);
-    assert!(wait_until_closed(&site, 200).is_empty());
+    assert!(wait_until_closed(&harness, 200).is_empty());
 }
 
 // A request whose client has disconnected before the node reads the request reaches no server.
 #[test]
 fn an_unread_request_of_a_disconnected_client_is_not_sent() {
-    let site = Site::new(2);
+    let harness = Harness::new(2);
     for how in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
         for round in 0..4 {
             // Open idle connections to the servers, so that a wrong attempt would be written without delay.
             for n in 0..4 {
-                assert_eq!(site.ask("look", &format!("{how:?}{round}{n}")).status(), 200);
+                assert_eq!(harness.send_request("look", &format!("{how:?}{round}{n}")).status(), 200);
             }
-            site.requests();
-            let _half_closed = site.stopped(|| {
+            harness.take_requests();
+            let _half_closed = harness.while_stopped(|| {
                 let streams = (0..10).map(|n| {
-                    let mut stream = site.dial();
-                    stream.write_all(&request("look", &format!("left{n}"), 60_000)).unwrap();
+                    let mut stream = harness.connect();
+                    stream.write_all(&request_bytes("look", &format!("left{n}"), 60_000)).unwrap();
                     disconnect(stream, how)
                 });
                 streams.collect::<Vec<_>>()
             });
-            assert_eq!(site.ask("look", "after").status(), 200);
-            let received_ids: Vec<String> =
-                site.requests().iter().map(|(_, message)| message.header("x-txn").to_owned()).collect();
+            assert_eq!(harness.send_request("look", "after").status(), 200);
+            let received_ids: Vec<String> = harness
+                .take_requests()
+                .iter()
+                .map(|(_, message)| message.header("x-txn").to_owned())
+                .collect();
             assert_eq!(received_ids, ["after"], "{how:?}");
         }
     }
@@ -134,13 +137,13 @@
 // A request that a close cuts off is not sent to a server.
 #[test]
 fn a_request_cut_off_by_a_close_is_not_sent() {
-    let site = Site::new(1);
-    let whole = request("pay", "1", 60_000);
+    let harness = Harness::new(1);
+    let whole = request_bytes("pay", "1", 60_000);
     for part in [1, whole.len() / 2, whole.len() - 1] {
-        let mut stream = site.dial();
+        let mut stream = harness.connect();
         stream.write_all(&whole[..part]).unwrap();
         drop(stream);
     }
-    assert_eq!(site.ask("pay", "2").status(), 200);
-    assert_eq!(site.requests().len(), 1);
+    assert_eq!(harness.send_request("pay", "2").status(), 200);
+    assert_eq!(harness.take_requests().len(), 1);
 }
--- a/tests/node/list.rs
+++ b/tests/node/list.rs
@@ -1,117 +1,121 @@
-//! The list's clock: watches, and what they bring.
+//! Watches on the list of servers: how lists arrive and when the node acts on them.
 
 use std::net::TcpListener;
 use std::sync::mpsc::channel;
 
 use serde_json::{json, Value};
 
-use crate::site::*;
+use crate::harness::*;
 
-/// Waits until requests reach the servers in use and no other.
-fn until_only(site: &Site, in_use: &[usize]) {
+/// Waits until requests reach only these servers.
+fn wait_until_used(harness: &Harness, servers: &[usize]) {
     let mut round = 0;
-    until("only the listed servers are used", || {
+    wait_until("only the listed servers are used", || {
         round += 1;
-        site.requests();
-        (0..8).for_each(|n| assert_eq!(site.ask("pay", &format!("{round}-{n}")).status(), 200));
-        site.requests().iter().all(|(server, _)| in_use.contains(server))
+        harness.take_requests();
+        (0..8).for_each(|n| assert_eq!(harness.send_request("pay", &format!("{round}-{n}")).status(), 200));
+        harness.take_requests().iter().all(|(server, _)| servers.contains(server))
     });
 }
 
-/// A list that leaves out the first server.
-fn without_the_first(site: &Site, revision: u64) -> Value {
-    json!({"revision": revision, "complete": true, "members": site.members[1..]})
+/// A complete list without the first server.
+fn without_the_first(harness: &Harness, revision: u64) -> Value {
+    json!({"revision": revision, "complete": true, "members": harness.members[1..]})
 }
 
 #[test]
-fn changes_reach_the_node_however_they_are_split_or_indented() {
-    let mut site = Site::new(3);
-    let mut stream = site.watch_from(41);
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 43, "complete": false, "members": [site.members[0]]}).to_string() + "\n";
+fn changes_may_be_split_into_chunks_or_indented() {
+    let mut harness = Harness::new(3);
+    let mut stream = harness.next_watch_from(41);
+    harness.members[0]["phase"] = json!("terminating");
+    let list = json!({"revision": 43, "complete": false, "members": [harness.members[0]]}).to_string() + "\n";
     for part in list.as_bytes().chunks(7) {
-        chunk(&mut stream, std::str::from_utf8(part).unwrap());
+        write_chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
-    until_only(&site, &[1, 2]);
-    site.members[1]["phase"] = json!("terminating");
-    let list = json!({"revision": 44, "complete": false, "members": [site.members[1]]});
-    chunk(&mut stream, "\n");
+    wait_until_used(&harness, &[1, 2]);
+    harness.members[1]["phase"] = json!("terminating");
+    let list = json!({"revision": 44, "complete": false, "members": [harness.members[1]]});
+    write_chunk(&mut stream, "\n");
     for line in serde_json::to_string_pretty(&list).unwrap().split_inclusive('\n') {
-        chunk(&mut stream, line);
+        write_chunk(&mut stream, line);
     }
-    until_only(&site, &[2]);
-    // A watch that ends is opened anew from the last version.
+    wait_until_used(&harness, &[2]);
+    // After the end of a watch the node opens a new one from the last revision.
     drop(stream);
-    site.watch_from(44);
+    harness.next_watch_from(44);
 }
 
+// A silent watch may have lost changes. The new one has to ask for the complete list, even if the first tries to open
+// it get no answer.
 #[test]
-fn a_silent_watch_is_opened_anew_for_the_whole_list_though_tries_are_swallowed() {
+fn silent_watch_is_reopened_for_the_complete_list() {
     for mode in ["ask", "push"] {
-        let site = Site::configured(2, json!({"sockets": 256}), |s| s["registry-mode"] = json!(mode));
-        let mut silent = site.watch_from(41);
-        chunk(&mut silent, "\n");
-        let _swallowed = [site.watch_from(0), site.watch_from(0)];
-        let mut stream = site.watch_from(0);
-        chunk(&mut stream, &format!("{}\n", without_the_first(&site, 50)));
-        until_only(&site, &[1]);
+        let harness =
+            Harness::with_settings(2, json!({"sockets": 256}), |s| s["registry-mode"] = json!(mode));
+        let mut silent = harness.next_watch_from(41);
+        write_chunk(&mut silent, "\n");
+        let _unanswered = [harness.next_watch_from(0), harness.next_watch_from(0)];
+        let mut stream = harness.next_watch_from(0);
+        write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 50)));
+        wait_until_used(&harness, &[1]);
     }
 }
 
-// A watch that sends half a list for ever says nothing either.
+// A watch that sends a list without end brings no list and no empty line: the node has to give it up like a silent one.
 #[test]
-fn a_watch_that_never_ends_its_list_is_given_up() {
-    let site = Site::new(2);
-    let mut half = site.watch_from(41);
-    chunk(&mut half, "\n{\"revision\": 42, ");
+fn watch_with_an_endless_list_is_given_up() {
+    let harness = Harness::new(2);
+    let mut endless = harness.next_watch_from(41);
+    write_chunk(&mut endless, "\n{\"revision\": 42, ");
     let trickle = std::thread::spawn(move || {
         use std::io::Write;
-        while half.write_all(b"1\r\n \r\n").is_ok() {
+        while endless.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     });
-    let mut stream = site.watch_from(0);
-    chunk(&mut stream, &format!("{}\n", without_the_first(&site, 50)));
-    until_only(&site, &[1]);
-    // Its end was the node's.
+    let mut stream = harness.next_watch_from(0);
+    write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 50)));
+    wait_until_used(&harness, &[1]);
+    // The node closed the endless watch.
     trickle.join().unwrap();
 }
 
-// Whatever the agent has counts as told from a new process's first moment: the older list of the
-// configuration is only for as long as the agent says nothing.
+// The agent's list counts as known to a new process from its start. The older list of the configuration is only for
+// the time until the agent answers.
 #[test]
-fn a_new_process_asks_at_once_for_what_it_does_not_know() {
-    let site =
-        Site::configured(2, json!({"sockets": 256}), |settings| settings["registry-mode"] = json!("push"));
-    let mut stream = site.watch_from(41);
-    chunk(&mut stream, &format!("{}\n", without_the_first(&site, 90)));
-    until_only(&site, &[1]);
+fn new_process_opens_a_watch_at_once() {
+    let harness = Harness::with_settings(2, json!({"sockets": 256}), |settings| {
+        settings["registry-mode"] = json!("push")
+    });
+    let mut stream = harness.next_watch_from(41);
+    write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 90)));
+    wait_until_used(&harness, &[1]);
 }
 
-// A node that ended on SIGHUP would lose all that it holds; one that kept to the old discovery, or
-// asked the new one only for what changed, would not know the servers.
+// A process that ended on SIGHUP would lose its requests. A node that stayed with the old discovery, or asked the new
+// one only for changes, would not know the servers.
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_of_the_file() {
-    let mut site = Site::new(2);
-    let (_, _old) = site.watch();
-    site.reload("{\"discovery\": ");
-    for again in 0..2 {
+fn sighup_moves_the_watch_to_the_configured_discovery() {
+    let mut harness = Harness::new(2);
+    let (_, _old) = harness.next_watch();
+    harness.reload_config("{\"discovery\": ");
+    for server in 0..2 {
         let (tx, watches) = channel();
-        // Nobody listens there at first.
-        let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        site.config["discovery"] = json!(gone.to_string());
-        site.reload(&site.config.to_string());
-        site.config["discovery"] = json!(discovery(tx).to_string());
-        site.reload(&site.config.to_string());
-        let (request, mut stream) = watches.recv_timeout(PATIENCE).expect("a watch at the new place");
-        assert!(request.first.contains("index=0 "), "{}", request.first);
-        // The old list holds until the new one comes.
-        assert_eq!(site.ask("pay", "1").status(), 200);
-        let list = json!({"revision": 7, "complete": true, "members": [site.members[again]]});
-        chunk(&mut stream, &format!("{list}\n"));
-        until_only(&site, &[again]);
+        // The first new address refuses connections.
+        let refusing_addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        harness.config["discovery"] = json!(refusing_addr.to_string());
+        harness.reload_config(&harness.config.to_string());
+        harness.config["discovery"] = json!(spawn_discovery(tx).to_string());
+        harness.reload_config(&harness.config.to_string());
+        let (request, mut stream) = watches.recv_timeout(TEST_TIMEOUT).expect("a watch at the new address");
+        assert!(request.start_line.contains("index=0 "), "{}", request.start_line);
+        // The old list stays in use until the new one arrives.
+        assert_eq!(harness.send_request("pay", "1").status(), 200);
+        let list = json!({"revision": 7, "complete": true, "members": [harness.members[server]]});
+        write_chunk(&mut stream, &format!("{list}\n"));
+        wait_until_used(&harness, &[server]);
     }
-    site.signal("-TERM");
-    site.signal("-HUP");
-    assert!(site.node.wait().unwrap().success());
+    harness.send_signal("-TERM");
+    harness.send_signal("-HUP");
+    assert!(harness.node.wait().unwrap().success());
 }
--- a/tests/node/log.rs
+++ b/tests/node/log.rs
@@ -4,17 +4,21 @@
 
 use serde_json::{json, Value};
 
-use crate::site::*;
+use crate::harness::*;
 
 #[test]
 fn the_json_log_names_node_request_server_and_revision() {
     let env = [("BALANCER_LOG_FORMAT", "json"), ("RUST_LOG", "debug")];
-    let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
-    assert_eq!(site.ask("look", "abc").status(), 200);
-    let (_, mut watch) = site.watch();
-    chunk(&mut watch, &format!("{}\n", json!({"revision": 43, "complete": true, "members": site.members})));
+    let harness = Harness::with_env(1, json!({"sockets": 256}), |_| {}, &env);
+    assert_eq!(harness.send_request("look", "abc").status(), 200);
+    let (_, mut watch) = harness.next_watch();
+    write_chunk(
+        &mut watch,
+        &format!("{}\n", json!({"revision": 43, "complete": true, "members": harness.members})),
+    );
     let wait_for_line = |message: &str| loop {
-        let line = site.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line '{message}'"));
+        let line =
+            harness.log_lines.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("no line '{message}'"));
         let line: Value = serde_json::from_str(&line).unwrap();
         if line["fields"]["message"] == message {
             return line;
@@ -29,10 +33,10 @@
 
 #[test]
 fn an_unknown_log_format_is_reported_at_the_start() {
-    let site = Site::new(1);
+    let harness = Harness::new(1);
     let output = Command::new(env!("CARGO_BIN_EXE_woodgap"))
         .env_clear()
-        .env("BALANCER_CONFIG", site.file.path())
+        .env("BALANCER_CONFIG", harness.config_file.path())
         .env("BALANCER_LOG_FORMAT", "xml")
         .output()
         .unwrap();
@@ -44,13 +48,16 @@
 #[test]
 fn the_counts_include_requests_and_connections() {
     let env = [("BALANCER_LOG_FORMAT", "json"), ("RUST_LOG", "woodgap::counts=debug,info")];
-    let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
-    assert_eq!(site.ask("look", "a").status(), 200);
-    site.all_do(Does::Answer("503 Service Unavailable\r\nX-Turned-Away: 1"));
-    assert_eq!(site.ask("pay", "b").status(), 503);
+    let harness = Harness::with_env(1, json!({"sockets": 256}), |_| {}, &env);
+    assert_eq!(harness.send_request("look", "a").status(), 200);
+    harness.set_behavior(Behavior::RespondEmpty("503 Service Unavailable\r\nX-Turned-Away: 1"));
+    assert_eq!(harness.send_request("pay", "b").status(), 503);
     let expected = "requests=2 served=1 refused_tried=1 ok=1 full=1";
     loop {
-        let line = site.log.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line with {expected}"));
+        let line = harness
+            .log_lines
+            .recv_timeout(TEST_TIMEOUT)
+            .unwrap_or_else(|_| panic!("no line with {expected}"));
         let line: Value = serde_json::from_str(&line).unwrap();
         if let Some(counts) = line["fields"]["counts"].as_str().filter(|counts| counts.starts_with(expected))
         {
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,6 +1,7 @@
 //! Tests that run the node's binary over loopback sockets, with test servers and a test discovery service.
 
 mod disconnects;
+mod harness;
 mod links;
 mod list;
 mod log;
@@ -8,5 +9,4 @@
 mod resource_limits;
 mod responses;
 mod restart;
-mod site;
 mod tenancy;
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -2,18 +2,18 @@
 
 use std::io::{BufReader, Write};
 
-use crate::site::*;
+use crate::harness::*;
 
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_returned() {
-    let site = Site::new(2);
-    assert_eq!(site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    let response = site.ask("put", "abc");
+    let harness = Harness::new(2);
+    assert_eq!(harness.send_raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    let response = harness.send_request("put", "abc");
     assert_eq!((response.status(), response.body.as_slice()), (200, b"abc".as_slice()));
-    let seen = site.requests();
+    let seen = harness.take_requests();
     let (_, request) = &seen[0];
     assert_eq!(seen.len(), 1);
-    assert_eq!(request.first, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
+    assert_eq!(request.start_line, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
     assert_eq!((request.header("x-txn"), request.header("idempotency-key")), ("abc", "77"));
     assert_eq!(request.body, b"hello");
     assert!((1..60_000).contains(&request.header("x-remaining-ms").parse::<u64>().unwrap()));
@@ -23,46 +23,46 @@
 // twice, or get the first one's response.
 #[test]
 fn a_request_with_the_id_of_an_open_one_is_rejected() {
-    let site = Site::new(1);
-    site.all_do(Does::Hold);
-    let mut first = site.dial();
-    first.write_all(&request("pay", "same", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
-    assert_eq!(site.ask("pay", "same").status(), 409);
-    assert_eq!(site.ask("look", "same").status(), 409);
-    assert!(site.requests().is_empty());
-    site.all_do(Does::Serve);
+    let harness = Harness::new(1);
+    harness.set_behavior(Behavior::Hold);
+    let mut first = harness.connect();
+    first.write_all(&request_bytes("pay", "same", 60_000)).unwrap();
+    assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(..))));
+    assert_eq!(harness.send_request("pay", "same").status(), 409);
+    assert_eq!(harness.send_request("look", "same").status(), 409);
+    assert!(harness.take_requests().is_empty());
+    harness.set_behavior(Behavior::Serve);
     let response = Message::read(&mut BufReader::new(first)).unwrap();
     assert_eq!((response.status(), response.body.as_slice()), (200, b"same".as_slice()));
-    assert_eq!(site.ask("pay", "same").status(), 200);
+    assert_eq!(harness.send_request("pay", "same").status(), 200);
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() {
     for does in [
-        Does::Break,
-        Does::BreakHalfway,
-        Does::Answer("500 Oops"),
-        Does::Answer("503 Busy"),
-        Does::Answer("504 Late"),
+        Behavior::CloseUnanswered,
+        Behavior::TruncateBody,
+        Behavior::RespondEmpty("500 Oops"),
+        Behavior::RespondEmpty("503 Busy"),
+        Behavior::RespondEmpty("504 Late"),
     ] {
-        let site = Site::new(3);
-        site.all_do(does);
-        let status = site.ask("pay", "1").status();
+        let harness = Harness::new(3);
+        harness.set_behavior(does);
+        let status = harness.send_request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{status}");
-        assert_eq!(site.requests().len(), 1);
+        assert_eq!(harness.take_requests().len(), 1);
     }
 }
 
 #[test]
 fn a_safe_request_is_retried_after_a_broken_response() {
-    let site = Site::new(2);
-    site.all_do(Does::BreakHalfway);
-    let mut stream = site.dial();
-    *site.does[0].lock().unwrap() = Does::Serve;
+    let harness = Harness::new(2);
+    harness.set_behavior(Behavior::TruncateBody);
+    let mut stream = harness.connect();
+    *harness.behaviors[0].lock().unwrap() = Behavior::Serve;
     for n in 0..8 {
         let id = format!("{n}");
-        stream.write_all(&request("look", &id, 60_000)).unwrap();
+        stream.write_all(&request_bytes("look", &id, 60_000)).unwrap();
         let response = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
         assert_eq!((response.status(), response.body), (200, id.into_bytes()));
     }
@@ -84,24 +84,24 @@
         ("HTTP/1.1 100 Continue\r\n\r\n", 20_000),
     ];
     for (text, times) in malformed {
-        let site = Site::new(2);
-        site.all_do(Does::Raw(text, times));
-        let status = site.ask("pay", "1").status();
+        let harness = Harness::new(2);
+        harness.set_behavior(Behavior::RespondRaw(text, times));
+        let status = harness.send_request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{text}: {status}");
-        assert_eq!(site.requests().len(), 1, "{text}");
-        site.all_do(Does::Serve);
-        until("served again", || site.ask("look", "2").body == b"2");
+        assert_eq!(harness.take_requests().len(), 1, "{text}");
+        harness.set_behavior(Behavior::Serve);
+        wait_until("served again", || harness.send_request("look", "2").body == b"2");
     }
 }
 
 #[test]
 fn interim_responses_and_a_malformed_load_report_do_no_harm() {
-    let site = Site::new(1);
+    let harness = Harness::new(1);
     let response = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
         HTTP/1.1 200 OK\r\nX-Pressure: {\"queue\":\r\nContent-Length: 2\r\n\r\nok";
-    site.all_do(Does::Raw(response, 1));
+    harness.set_behavior(Behavior::RespondRaw(response, 1));
     for n in 0..4 {
-        assert_eq!(site.ask("pay", &n.to_string()).body, b"ok");
+        assert_eq!(harness.send_request("pay", &n.to_string()).body, b"ok");
     }
 }
 
@@ -109,31 +109,31 @@
 #[test]
 fn a_duplicate_response_is_never_used() {
     for delay_ms in [0, 1, 2, 4] {
-        let site = Site::new(1);
-        site.all_do(Does::ServeTwice(delay_ms));
+        let harness = Harness::new(1);
+        harness.set_behavior(Behavior::ServeTwice(delay_ms));
         for n in 0..20 {
             let id = format!("{delay_ms}-{n}");
-            assert_eq!(site.ask("pay", &id).body, id.as_bytes());
+            assert_eq!(harness.send_request("pay", &id).body, id.as_bytes());
         }
     }
 }
 
 #[test]
 fn an_unsafe_request_that_all_servers_rejected_unrun_is_refused() {
-    let site = Site::new(2);
-    site.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let response = site.ask("pay", "1");
+    let harness = Harness::new(2);
+    harness.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
+    let response = harness.send_request("pay", "1");
     assert_eq!(response.status(), 503);
-    site.all_do(Does::Serve);
-    until("served again", || site.ask("pay", "2").status() == 200);
+    harness.set_behavior(Behavior::Serve);
+    wait_until("served again", || harness.send_request("pay", "2").status() == 200);
 }
 
 #[test]
 fn a_request_is_answered_before_its_deadline() {
-    let site = Site::new(2);
-    site.all_do(Does::Hang);
+    let harness = Harness::new(2);
+    harness.set_behavior(Behavior::Hang);
     for class in ["look", "pay", "put"] {
-        let status = site.raw(&request(class, "1", 400)).status();
+        let status = harness.send_raw(&request_bytes(class, "1", 400)).status();
         assert_ne!(status, 200);
         // The unsafe request may have run, so it must not get a status that allows a retry.
         assert!(class != "pay" || ![429, 503].contains(&status), "{status}");
@@ -142,22 +142,22 @@
 
 #[test]
 fn a_disconnected_client_ends_its_attempt() {
-    let site = Site::new(2);
-    site.all_do(Does::Hang);
-    let mut stream = site.dial();
-    stream.write_all(&request("look", "1", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+    let harness = Harness::new(2);
+    harness.set_behavior(Behavior::Hang);
+    let mut stream = harness.connect();
+    stream.write_all(&request_bytes("look", "1", 60_000)).unwrap();
+    assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(..))));
     drop(stream);
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Closed)));
+    assert!(matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::ConnectionClosed)));
 }
 
 #[test]
 fn malformed_requests_are_rejected() {
-    let site = Site::new(1);
+    let harness = Harness::new(1);
     let status_with = |old: &str, new: &str| {
-        let text = String::from_utf8(request("pay", "1", 60_000)).unwrap();
+        let text = String::from_utf8(request_bytes("pay", "1", 60_000)).unwrap();
         assert!(text.contains(old));
-        site.raw(text.replace(old, new).as_bytes()).status()
+        harness.send_raw(text.replace(old, new).as_bytes()).status()
     };
     assert_eq!(status_with("X-Lane: pay", "X-Lane: none"), 400);
     assert_eq!(status_with("X-Org: acme", "X-Org: other"), 400);
@@ -178,10 +178,10 @@
         "Transfer-Encoding: chunked\r\nContent-Length: 26",
         "Content-Length: 26\r\nTransfer-Encoding: chunked",
     ] {
-        let text = String::from_utf8(request("pay", "1", 60_000)).unwrap();
+        let text = String::from_utf8(request_bytes("pay", "1", 60_000)).unwrap();
         let text =
             text.replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n{hidden_request}"));
-        let response = site.raw(text.as_bytes());
+        let response = harness.send_raw(text.as_bytes());
         assert_eq!((response.status(), response.header("connection")), (411, "close"));
     }
     assert_eq!(status_with("Content-Length: 5", "Content-Length: -5"), 400);
@@ -191,15 +191,15 @@
     assert_eq!(status_with("Content-Length: 5", "Content-Length: 70000"), 413);
     assert_eq!(status_with("X-Org: acme", &format!("X-Org: acme\r\nX-Long: {}", "a".repeat(40_000))), 431);
     assert_eq!(status_with(" HTTP/1.1", " NONSENSE"), 400);
-    assert!(site.requests().is_empty());
-    assert_eq!(site.ask("pay", "2").status(), 200);
+    assert!(harness.take_requests().is_empty());
+    assert_eq!(harness.send_request("pay", "2").status(), 200);
 }
 
 // A chunked body is forwarded with a Content-Length, however the client splits it.
 #[test]
 fn a_chunked_body_is_forwarded() {
-    let site = Site::new(1);
-    let plain = String::from_utf8(request("pay", "ID", 60_000)).unwrap();
+    let harness = Harness::new(1);
+    let plain = String::from_utf8(request_bytes("pay", "ID", 60_000)).unwrap();
     let chunked = |id: &str, body: &str| {
         let framed = format!("Transfer-Encoding: chunked\r\n\r\n{body}");
         plain.replace("ID", id).replace("Content-Length: 5\r\n\r\nhello", &framed)
@@ -207,30 +207,30 @@
     for (id, body) in
         [("1", "5\r\nhello\r\n0\r\n\r\n"), ("2", "2;x=y\r\nhe\r\n3\r\nllo\r\n0\r\nX-T: z\r\n\r\n")]
     {
-        let mut stream = site.dial();
+        let mut stream = harness.connect();
         // The chunked request follows a request with a length and is sent byte by byte.
-        stream.write_all(&request("pay", &format!("before{id}"), 60_000)).unwrap();
+        stream.write_all(&request_bytes("pay", &format!("before{id}"), 60_000)).unwrap();
         let mut input = BufReader::new(stream.try_clone().unwrap());
         assert_eq!(Message::read(&mut input).unwrap().status(), 200);
         stream.set_nodelay(true).unwrap();
         chunked(id, body).bytes().for_each(|byte| stream.write_all(&[byte]).unwrap());
         let response = Message::read(&mut input).unwrap();
         assert_eq!((response.status(), response.body.as_slice()), (200, id.as_bytes()));
-        let seen = site.requests();
+        let seen = harness.take_requests();
         let (_, request) = seen.last().unwrap();
         assert_eq!((request.body.as_slice(), request.header("content-length")), (b"hello".as_slice(), "5"));
         assert_eq!(request.header("transfer-encoding"), "");
     }
     // A safe request may be chunked but must have no body.
-    let look = String::from_utf8(request("look", "3", 60_000)).unwrap();
+    let look = String::from_utf8(request_bytes("look", "3", 60_000)).unwrap();
     let empty = look.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
-    assert_eq!(site.raw(empty.as_bytes()).status(), 200);
+    assert_eq!(harness.send_raw(empty.as_bytes()).status(), 200);
     let body = look.replace("\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
-    assert_eq!(site.raw(body.as_bytes()).status(), 400);
-    site.requests();
+    assert_eq!(harness.send_raw(body.as_bytes()).status(), 400);
+    harness.take_requests();
     // A body that is too long, and a malformed chunk size.
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
-    assert_eq!(site.raw(chunked("4", &chunk.repeat(3)).as_bytes()).status(), 413);
-    assert_eq!(site.raw(chunked("5", "zz\r\n").as_bytes()).status(), 400);
-    assert!(site.requests().is_empty());
+    assert_eq!(harness.send_raw(chunked("4", &chunk.repeat(3)).as_bytes()).status(), 413);
+    assert_eq!(harness.send_raw(chunked("5", "zz\r\n").as_bytes()).status(), 400);
+    assert!(harness.take_requests().is_empty());
 }
--- a/tests/node/resource_limits.rs
+++ b/tests/node/resource_limits.rs
@@ -4,11 +4,11 @@
 
 use serde_json::json;
 
-use crate::site::*;
+use crate::harness::*;
 
 /// Sets the kernel's limit on the node's file descriptors.
-fn limit_descriptors(site: &Site, limit: &str) {
-    let (pid, limit) = (site.node.id().to_string(), format!("--nofile={limit}:"));
+fn limit_descriptors(harness: &Harness, limit: &str) {
+    let (pid, limit) = (harness.node.id().to_string(), format!("--nofile={limit}:"));
     let status = std::process::Command::new("prlimit").args(["--pid", &pid, &limit]).status().unwrap();
     assert!(status.success());
 }
@@ -17,20 +17,21 @@
 // for servers must stay free.
 #[test]
 fn idle_clients_leave_sockets_for_discovery_and_servers() {
-    let site = Site::with(2, json!({"sockets": 80}));
-    limit_descriptors(&site, "80");
-    let mut watch = site.watch_from(41);
-    chunk(&mut watch, "\n");
+    let harness = Harness::with_limits(2, json!({"sockets": 80}));
+    limit_descriptors(&harness, "80");
+    let mut watch = harness.next_watch_from(41);
+    write_chunk(&mut watch, "\n");
     drop(watch);
-    let idle_clients: Vec<_> = (0..100).map(|_| site.dial()).collect();
-    until("served", || site.ask("pay", "1").status() == 200);
+    let idle_clients: Vec<_> = (0..100).map(|_| harness.connect()).collect();
+    wait_until("served", || harness.send_request("pay", "1").status() == 200);
     // Discovery is back and lists one server less.
-    let list = json!({"revision": 50, "complete": true, "members": site.members[1..]});
-    chunk(&mut site.watch().1, &format!("{list}\n"));
-    until("the node uses the new list", || {
-        site.requests();
-        let served = (0..6).filter(|n| site.ask("pay", &format!("2-{n}")).status() == 200).count();
-        served > 0 && site.requests().iter().all(|(server, _)| *server == 1)
+    let list = json!({"revision": 50, "complete": true, "members": harness.members[1..]});
+    write_chunk(&mut harness.next_watch().1, &format!("{list}\n"));
+    wait_until("the node uses the new list", || {
+        harness.take_requests();
+        let served =
+            (0..6).filter(|n| harness.send_request("pay", &format!("2-{n}")).status() == 200).count();
+        served > 0 && harness.take_requests().iter().all(|(server, _)| *server == 1)
     });
     drop(idle_clients);
 }
@@ -39,18 +40,20 @@
 // clients disconnect.
 #[test]
 fn a_node_without_descriptors_recovers() {
-    let site = Site::with(1, json!({"sockets": 4_000}));
-    limit_descriptors(&site, "24");
+    let harness = Harness::with_limits(1, json!({"sockets": 4_000}));
+    limit_descriptors(&harness, "24");
     let clients: Vec<_> = (0..60)
         .map(|n| {
-            let mut stream = site.dial();
-            let _ = stream.write_all(&request("look", &format!("c{n}"), 60_000));
+            let mut stream = harness.connect();
+            let _ = stream.write_all(&request_bytes("look", &format!("c{n}"), 60_000));
             stream
         })
         .collect();
-    until("the failure is logged", || site.log.try_iter().any(|line| line.contains("accept failed")));
+    wait_until("the failure is logged", || {
+        harness.log_lines.try_iter().any(|line| line.contains("accept failed"))
+    });
     drop(clients);
-    until("served again", || site.ask("look", "after").status() == 200);
+    wait_until("served again", || harness.send_request("look", "after").status() == 200);
 }
 
 // For new connections the node evicts silent ones, but never a connection whose request has arrived and is
@@ -58,15 +61,15 @@
 #[test]
 fn a_connection_with_an_unread_request_is_not_evicted() {
     // 60 sockets leave twelve for clients.
-    let site = Site::with(1, json!({"sockets": 60}));
+    let harness = Harness::with_limits(1, json!({"sockets": 60}));
     for round in 0..4 {
-        let mut silent: Vec<_> = (0..12).map(|_| BufReader::new(site.dial())).collect();
+        let mut silent: Vec<_> = (0..12).map(|_| BufReader::new(harness.connect())).collect();
         // Connections without a request may be evicted after 500 ms.
         std::thread::sleep(std::time::Duration::from_millis(700));
-        let new_connections: Vec<_> = site.stopped(|| {
-            let new_connections = (0..6).map(|_| site.dial()).collect();
+        let new_connections: Vec<_> = harness.while_stopped(|| {
+            let new_connections = (0..6).map(|_| harness.connect()).collect();
             for (n, stream) in silent.iter_mut().enumerate() {
-                stream.get_mut().write_all(&request("pay", &format!("{round}-{n}"), 60_000)).unwrap();
+                stream.get_mut().write_all(&request_bytes("pay", &format!("{round}-{n}"), 60_000)).unwrap();
             }
             new_connections
         });
@@ -75,13 +78,15 @@
             assert!([200, 503].contains(&Message::read(stream).expect("a response").status()));
         }
         drop((silent, new_connections));
-        until("all sockets are free", || site.ask("pay", &format!("free{round}")).status() == 200);
+        wait_until("all sockets are free", || {
+            harness.send_request("pay", &format!("free{round}")).status() == 200
+        });
     }
 }
 
 /// The node's peak memory so far, in kB.
-fn peak_kb(site: &Site) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", site.node.id())).unwrap();
+fn peak_kb(harness: &Harness) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", harness.node.id())).unwrap();
     let line =
         status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("VmHWM in the process status");
     line.trim().trim_end_matches(" kB").trim().parse().unwrap()
@@ -92,21 +97,23 @@
 #[test]
 fn memory_stays_under_half_of_its_limit_in_floods() {
     let limit_mb = 48;
-    let site = Site::with(1, json!({"sockets": 512, "memory_mb": limit_mb}));
-    assert_eq!(site.ask("look", "0").status(), 200);
+    let harness = Harness::with_limits(1, json!({"sockets": 512, "memory_mb": limit_mb}));
+    assert_eq!(harness.send_request("look", "0").status(), 200);
     let flood = vec![b'x'; 1 << 20];
     let body = format!("Content-Length: 65536\r\n\r\n{}", "b".repeat(65_536));
-    let largest_request = String::from_utf8(request("pay", "ID", 2_000))
+    let largest_request = String::from_utf8(request_bytes("pay", "ID", 2_000))
         .unwrap()
         .replace("Content-Length: 5\r\n\r\nhello", &body);
     for round in 0..6 {
         // Either no response, or one without a length that never ends.
-        let server_faults =
-            [Does::Hang, Does::Raw("HTTP/1.1 200 OK\r\n\r\nxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", 50_000)];
-        site.all_do(server_faults[round % 2]);
+        let server_faults = [
+            Behavior::Hang,
+            Behavior::RespondRaw("HTTP/1.1 200 OK\r\n\r\nxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", 50_000),
+        ];
+        harness.set_behavior(server_faults[round % 2]);
         let held: Vec<_> = (0..120)
             .map(|n| {
-                let mut stream = site.dial();
+                let mut stream = harness.connect();
                 stream.set_write_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
                 let _ = stream.write_all(
                     largest_request.replace("X-Txn: ID", &format!("X-Txn: {round}-{n}")).as_bytes(),
@@ -119,9 +126,9 @@
             .collect();
         drop(held);
     }
-    site.all_do(Does::Serve);
-    until("served again", || site.ask("look", "after").status() == 200);
-    let peak = peak_kb(&site);
+    harness.set_behavior(Behavior::Serve);
+    wait_until("served again", || harness.send_request("look", "after").status() == 200);
+    let peak = peak_kb(&harness);
     assert!(peak < limit_mb * 1024 / 2, "{peak} kB of {limit_mb} MB");
 }
 
@@ -129,16 +136,16 @@
 #[test]
 fn connections_closed_without_a_response_are_counted() {
     let env = [("RUST_LOG", "woodgap::counts=debug,info"), ("BALANCER_LOG_FORMAT", "json")];
-    let site = Site::start(1, json!({"sockets": 256}), |_| {}, &env);
-    let mut silent: Vec<_> = (0..3).map(|_| site.dial()).collect();
-    let mut answered = BufReader::new(site.dial());
-    answered.get_mut().write_all(&request("pay", "1", 60_000)).unwrap();
+    let harness = Harness::with_env(1, json!({"sockets": 256}), |_| {}, &env);
+    let mut silent: Vec<_> = (0..3).map(|_| harness.connect()).collect();
+    let mut answered = BufReader::new(harness.connect());
+    answered.get_mut().write_all(&request_bytes("pay", "1", 60_000)).unwrap();
     assert_eq!(Message::read(&mut answered).unwrap().status(), 200);
     for stream in &mut silent {
         assert_eq!(std::io::Read::read(stream, &mut [0]).unwrap(), 0);
     }
-    until("counted", || {
+    wait_until("counted", || {
         let counted = |line: String| line.contains("closed_unanswered=3") && line.contains("too_slow=3");
-        site.log.try_iter().any(counted)
+        harness.log_lines.try_iter().any(counted)
     });
 }
--- a/tests/node/tenancy.rs
+++ b/tests/node/tenancy.rs
@@ -3,7 +3,7 @@
 
 use serde_json::{json, Value};
 
-use crate::site::*;
+use crate::harness::*;
 
 /// Settings of another deployment: other names and semantics, short times, no `Retry-After`, no cancelling.
 fn use_other_settings(settings: &mut Value) {
@@ -24,7 +24,7 @@
         "unsafe" => "pay",
         _ => "put",
     };
-    let text = String::from_utf8(request(template, id, 60_000)).unwrap();
+    let text = String::from_utf8(request_bytes(template, id, 60_000)).unwrap();
     text.replace(&format!("X-Lane: {template}"), &format!("X-Lane: {class}"))
         .replace("X-Org: acme", &format!("X-Org: {tenant}"))
         .into_bytes()
@@ -32,11 +32,12 @@
 
 #[test]
 fn two_deployments_on_one_host_are_independent() {
-    let (first, second) = (Site::new(2), Site::configured(2, json!({"sockets": 128}), use_other_settings));
+    let (first, second) =
+        (Harness::new(2), Harness::with_settings(2, json!({"sockets": 128}), use_other_settings));
     for round in 0..3 {
-        let ask = |site: &Site, class, semantics, tenant| {
+        let ask = |harness: &Harness, class, semantics, tenant| {
             let id = format!("{round}-{class}-{semantics}-{tenant}");
-            site.raw(&request_with(class, semantics, tenant, &id)).status()
+            harness.send_raw(&request_with(class, semantics, tenant, &id)).status()
         };
         // A class has the semantics of its own deployment, whatever another gives the same name.
         assert_eq!(
@@ -55,16 +56,17 @@
         );
     }
     // So with times and `Retry-After`: the second one gives up within its 400 ms and sends no `Retry-After`.
-    second.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    first.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let refused = first.raw(&request_with("pay", "unsafe", "acme", "r1"));
+    second.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
+    first.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
+    let refused = first.send_raw(&request_with("pay", "unsafe", "acme", "r1"));
     assert!(refused.status() == 503 && !refused.header("retry-after").is_empty());
-    let refused = second.raw(&request_with("look", "unsafe", "bravo", "r2"));
+    let refused = second.send_raw(&request_with("look", "unsafe", "bravo", "r2"));
     assert!(refused.status() == 503 && refused.header("retry-after").is_empty());
-    second.all_do(Does::Hang);
-    let late = second.raw(&request_with("look", "unsafe", "bravo", "late"));
+    second.set_behavior(Behavior::Hang);
+    let late = second.send_raw(&request_with("look", "unsafe", "bravo", "late"));
     assert!(![200, 429, 503].contains(&late.status()));
-    let remaining_ms: u64 = second.requests().last().unwrap().1.header("x-remaining-ms").parse().unwrap();
+    let remaining_ms: u64 =
+        second.take_requests().last().unwrap().1.header("x-remaining-ms").parse().unwrap();
     assert!(remaining_ms <= 400, "{remaining_ms}");
 }
 
@@ -72,16 +74,16 @@
 // and none of the old ones is left after a restart.
 #[test]
 fn a_changed_file_moves_discovery_at_once_and_the_rest_at_a_restart() {
-    let mut site = Site::new(1);
+    let mut harness = Harness::new(1);
     let (tx, watches) = std::sync::mpsc::channel();
-    site.config["discovery"] = json!(discovery(tx).to_string());
-    use_other_settings(&mut site.config["settings"]);
-    site.reload(&site.config.to_string());
-    let (request, _stream) = watches.recv_timeout(PATIENCE).expect("a watch at the new address");
-    assert!(request.first.contains("index=0 "), "{}", request.first);
-    assert_eq!(site.raw(&request_with("pay", "unsafe", "acme", "1")).status(), 200);
-    assert_eq!(site.raw(&request_with("seal", "keyed", "bravo", "2")).status(), 400);
-    let restarted = Site::configured(1, json!({"sockets": 128}), use_other_settings);
-    assert_eq!(restarted.raw(&request_with("seal", "keyed", "bravo", "3")).status(), 200);
-    assert_eq!(restarted.raw(&request_with("put", "keyed", "acme", "4")).status(), 400);
+    harness.config["discovery"] = json!(spawn_discovery(tx).to_string());
+    use_other_settings(&mut harness.config["settings"]);
+    harness.reload_config(&harness.config.to_string());
+    let (request, _stream) = watches.recv_timeout(TEST_TIMEOUT).expect("a watch at the new address");
+    assert!(request.start_line.contains("index=0 "), "{}", request.start_line);
+    assert_eq!(harness.send_raw(&request_with("pay", "unsafe", "acme", "1")).status(), 200);
+    assert_eq!(harness.send_raw(&request_with("seal", "keyed", "bravo", "2")).status(), 400);
+    let restarted = Harness::with_settings(1, json!({"sockets": 128}), use_other_settings);
+    assert_eq!(restarted.send_raw(&request_with("seal", "keyed", "bravo", "3")).status(), 200);
+    assert_eq!(restarted.send_raw(&request_with("put", "keyed", "acme", "4")).status(), 400);
 }
