--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -24,12 +24,12 @@
 
 use crate::client_connection::{ClientConnection, ClientSocket, Phase, REQUEST_READ_TIMEOUT};
 use crate::counts::Count;
-use crate::driver::{Answer, Arrival, Msg};
+use crate::driver::{ClientRequest, ClientResponse, DriverMessage};
 use crate::exchange::{OutgoingRequest, MAX_BODY_BYTES};
 use crate::guards::{SocketBudget, SocketPermit};
 use crate::request::{remove_hop_by_hop_headers, Rejection, RequestHead};
+use crate::revision_reporter::RevisionReporter;
 use crate::servers::Servers;
-use crate::witness::Witness;
 
 /// Largest head of a request.
 pub const MAX_REQUEST_HEAD_BYTES: usize = 16 * 1024;
@@ -78,9 +78,9 @@
     /// Further sockets for clients that are only told that the node refuses them.
     refusal_sockets: Rc<SocketBudget>,
     /// Knows whether the audit has taken the node out of service.
-    witness: Option<Rc<Witness>>,
+    reporter: Option<Rc<RevisionReporter>>,
     /// Hands requests and disconnects to the driver.
-    driver: mpsc::UnboundedSender<Msg>,
+    driver: mpsc::UnboundedSender<DriverMessage>,
     next_request_id: Cell<u64>,
     /// Requests that hold memory: from the arrival of their head to their response.
     open_requests: Cell<usize>,
@@ -103,8 +103,8 @@
         max_open_requests: usize,
         servers: Rc<Servers>,
         sockets: (Rc<SocketBudget>, Rc<SocketBudget>),
-        witness: Option<Rc<Witness>>,
-        driver: mpsc::UnboundedSender<Msg>,
+        reporter: Option<Rc<RevisionReporter>>,
+        driver: mpsc::UnboundedSender<DriverMessage>,
     ) -> Rc<Self> {
         Rc::new(Clients {
             settings,
@@ -113,7 +113,7 @@
             servers,
             client_sockets: sockets.0,
             refusal_sockets: sockets.1,
-            witness,
+            reporter,
             driver,
             next_request_id: Cell::new(1),
             open_requests: Cell::new(0),
@@ -142,7 +142,7 @@
                     // backlog. Without a pause this loop would take the CPU time that closing other sockets
                     // needs.
                     tracing::warn!(%error, "accept failed");
-                    self.servers.evict();
+                    self.servers.evict_idle();
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -156,7 +156,7 @@
     async fn acquire_permits(&self) -> ((SocketPermit, Option<SocketPermit>), bool) {
         loop {
             if let Some(client_permit) = self.client_sockets.try_acquire() {
-                if let Some(process_permit) = self.servers.permit().await {
+                if let Some(process_permit) = self.servers.acquire_socket().await {
                     return ((client_permit, Some(process_permit)), false);
                 }
             }
@@ -261,7 +261,7 @@
                 }
                 if connection.closes_at_once() {
                     if connection.is_unused() {
-                        self.servers.counts.one(Count::ClosedUnanswered);
+                        self.servers.counts.increment(Count::ClosedUnanswered);
                     }
                     break false;
                 }
@@ -320,7 +320,7 @@
     ) -> (Response<Full<Bytes>>, bool) {
         match request.uri().path() {
             "/-/ready" if request.method() == Method::GET => {
-                let is_out = self.witness.as_ref().is_some_and(|witness| witness.is_shut_out());
+                let is_out = self.reporter.as_ref().is_some_and(|reporter| reporter.is_excluded());
                 let is_ready = self.drain_deadline.get().is_none() && !is_out;
                 let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
                 (text_response(status, ""), true)
@@ -359,7 +359,7 @@
             }
             Ok(Err(_)) => return Err((StatusCode::BAD_REQUEST, "the body is broken\n")),
             Err(_) => {
-                self.servers.counts.one(Count::TooSlow);
+                self.servers.counts.increment(Count::TooSlow);
                 return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n"));
             }
         };
@@ -376,25 +376,27 @@
             return Err((StatusCode::CONFLICT, "a request with this X-Txn is open\n"));
         };
         let (reply, answer) = oneshot::channel();
-        let arrival = Arrival {
+        let arrival = ClientRequest {
             id,
             class: ClassId(head.class),
             tenant: head.tenant.map(TenantId),
             key: head.key,
-            repeat: head.is_client_retry,
+            is_client_retry: head.is_client_retry,
             cost: head.cost,
             deadline,
-            call,
+            outgoing: call,
             reply,
         };
-        if self.driver.send(Msg::Request(Box::new(arrival))).is_err() {
+        if self.driver.send(DriverMessage::Request(Box::new(arrival))).is_err() {
             return Ok(self.refusal_response(Some(OVERLOAD_RETRY_AFTER)));
         }
         Ok(match answer.await {
-            Ok(Answer::Served(headers, body)) => server_response(headers, body),
-            Ok(Answer::Refused(retry_after)) => self.refusal_response(retry_after),
-            Ok(Answer::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
-            Ok(Answer::Late) | Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+            Ok(ClientResponse::Served(headers, body)) => server_response(headers, body),
+            Ok(ClientResponse::Refused(retry_after)) => self.refusal_response(retry_after),
+            Ok(ClientResponse::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
+            Ok(ClientResponse::DeadlineExceeded) | Err(_) => {
+                text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
+            }
         })
     }
 
@@ -450,7 +452,7 @@
         // Set here and not only when the driver handles the message: an attempt may be about to be written.
         self.call.is_finished.set(true);
         // If the request was answered, the driver has forgotten the id or knows that the request has ended.
-        let _ = self.clients.driver.send(Msg::Disconnected(self.id));
+        let _ = self.clients.driver.send(DriverMessage::Disconnected(self.id));
     }
 }
 
--- a/src/bin/woodgap/cold.rs
+++ b/src/bin/woodgap/cold.rs
@@ -1,7 +1,8 @@
-//! What this node wrote to servers while they were cold, for a count over all nodes of a fleet.
+//! Counts the requests that this node sent to cold servers, so that the sends of all nodes can be added up.
 //!
-//! With `RUST_LOG=woodgap::cold=debug` a line twice a second has the sends by server, start and tenth of a second;
-//! `fircroft fleet` adds them up. Without it nothing is kept.
+//! With `RUST_LOG=woodgap::cold=debug` the node logs a line twice a second with its sends by server, start of the
+//! server's process and tenth of a second; `fircroft fleet` adds up the lines of all nodes. Without that filter
+//! nothing is recorded.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,54 +11,59 @@
 
 use woodgap::config::Ramp;
 
-/// Milliseconds of a bucket.
-const BUCKET: u64 = 100;
+/// The span of time over which sends are added up.
+const BUCKET_MS: u64 = 100;
 
-/// A server's start: its id, when its process started, its size.
+/// One start of a server's process.
 #[derive(Clone, Debug)]
-pub struct Start<'a> {
+pub struct ServerStart<'a> {
     pub id: &'a str,
+    /// When the process started: Unix time in milliseconds.
     pub since_ms: u64,
     pub size: f64,
 }
 
-/// A server's size, and the sends of each bucket.
+/// The sends to a server after one of its starts.
 struct Sends {
+    /// The server's size.
     size: f64,
+    /// The number of sends, by the Unix time in milliseconds at which their bucket begins.
     buckets: BTreeMap<u64, u32>,
 }
 
+/// The sends to cold servers that are not logged yet.
 pub struct ColdSends {
     ramp: Ramp,
-    on: bool,
-    /// By id and start.
+    is_enabled: bool,
+    /// By the server's id and the Unix time in milliseconds of its start.
     sends: RefCell<BTreeMap<(String, u64), Sends>>,
 }
 
 impl ColdSends {
     pub fn new(ramp: Ramp) -> Self {
-        let on = tracing::enabled!(target: "woodgap::cold", tracing::Level::DEBUG);
-        ColdSends { ramp, on, sends: RefCell::default() }
+        let is_enabled = tracing::enabled!(target: "woodgap::cold", tracing::Level::DEBUG);
+        ColdSends { ramp, is_enabled, sends: RefCell::default() }
     }
 
-    /// Whether anything is kept.
-    pub fn is_on(&self) -> bool {
-        self.on
+    /// Whether the log filter asks for cold sends. If not, nothing is to be recorded.
+    pub fn is_enabled(&self) -> bool {
+        self.is_enabled
     }
 
-    /// Notes a send.
-    pub fn sent(&self, to: &Start<'_>) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        if unix.saturating_sub(to.since_ms) < self.ramp.duration_ms {
+    /// Records a send, if the server started less than the duration of the ramp ago.
+    pub fn record(&self, server: &ServerStart<'_>) {
+        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        if unix_ms.saturating_sub(server.since_ms) < self.ramp.duration_ms {
             let mut sends = self.sends.borrow_mut();
-            let fresh = || Sends { size: to.size, buckets: BTreeMap::new() };
-            let Sends { buckets, .. } = sends.entry((to.id.to_owned(), to.since_ms)).or_insert_with(fresh);
-            *buckets.entry(unix / BUCKET * BUCKET).or_insert(0) += 1;
+            let new_sends = || Sends { size: server.size, buckets: BTreeMap::new() };
+            let Sends { buckets, .. } =
+                sends.entry((server.id.to_owned(), server.since_ms)).or_insert_with(new_sends);
+            *buckets.entry(unix_ms / BUCKET_MS * BUCKET_MS).or_insert(0) += 1;
         }
     }
 
-    /// Writes what was noted since the last time. `able` is the size of all servers in service.
-    pub fn write(&self, able: f64) {
+    /// Logs the sends recorded since the previous call. `able` is the total size of all servers in service.
+    pub fn log(&self, able: f64) {
         let sends = std::mem::take(&mut *self.sends.borrow_mut());
         if sends.is_empty() {
             return;
--- a/src/bin/woodgap/counts.rs
+++ b/src/bin/woodgap/counts.rs
@@ -1,26 +1,31 @@
-//! What a node has done since its start, in numbers, for the log: `RUST_LOG=woodgap::counts=debug` has it write
-//! them once a second. `fircroft fleet` adds up the lines of all nodes.
+//! Counts of a node's requests, attempts and connections since its start. With `RUST_LOG=woodgap::counts=debug` the
+//! node logs them once a second, and `fircroft fleet` adds up the lines of all nodes.
 
 use std::cell::Cell;
 use std::fmt;
 
 use woodgap::Outcome;
 
-/// What is counted.
+/// An event that is counted.
 #[derive(Clone, Copy, Debug)]
 pub enum Count {
-    /// Requests that were taken.
+    /// Requests that the driver accepted. Each of them ends in one of the next seven counts.
     Requests,
-    /// Their ends: answered by a server; refused or failed, with no attempt sent or after one; not answered in
-    /// time; left by their client.
+    /// Answered with a server's response.
     Served,
+    /// Refused before any attempt was started, or at the deadline with nothing written to a server.
     RefusedUntried,
+    /// Refused after an attempt.
     RefusedTried,
+    /// Failed before any attempt was started.
     FailedUntried,
+    /// Failed after an attempt.
     FailedTried,
+    /// Not answered by the deadline.
     Late,
+    /// Left by the client before the response.
     Disconnected,
-    /// Attempts by their outcome.
+    /// Attempts, by their [`Outcome`]. Probes are not among them.
     Ok,
     Error,
     Full,
@@ -29,25 +34,34 @@
     Reset,
     Cancelled,
     Moot,
-    /// Attempts and probes that found a connection, that opened one, and why none came of it.
+    /// Attempts and probes that used an idle connection.
     Reused,
+    /// Connections to servers that attempts and probes began to open.
     Dialled,
+    /// Connections that could not be opened because of an error.
     DialRefused,
+    /// Connections that were not up in time: within the dial time-out and the attempt's deadline.
     DialSilent,
+    /// Connections that were not opened because no socket was free.
     NoSocket,
-    /// Idle connections that were closed: old ones, at the module's word, for want of sockets, by their server.
+    /// Idle connections that were closed because they had been idle for too long.
     IdleExpired,
+    /// Idle connections that were closed at the balancer's request, or after a time-out or a cancelled attempt.
     IdleFreed,
+    /// Idle connections that were closed to free a socket.
     IdleEvicted,
+    /// Idle connections that were found unusable: their server had closed them or had sent bytes that no request
+    /// asked for, or they had become too old by the time they were to be used.
     IdleBroken,
-    /// Probes that were sent.
+    /// Probes that were started.
     Probes,
-    /// Client connections that the node closed with nothing answered on them, and requests that took too long
-    /// to come.
+    /// Client connections that the node closed before it had answered any request on them.
     ClosedUnanswered,
+    /// Requests that took too long to arrive, including the first request of a client that sent nothing.
     TooSlow,
 }
 
+/// Every count with its name in the log, in the order of [`Count`].
 const COUNTS: [(Count, &str); 28] = [
     (Count::Requests, "requests"),
     (Count::Served, "served"),
@@ -79,25 +93,23 @@
     (Count::TooSlow, "too_slow"),
 ];
 
-/// The counts so far.
+/// The counts since the start of the node.
 #[derive(Default)]
 pub struct Counts([Cell<u64>; COUNTS.len()]);
 
 impl Counts {
-    /// Counts one.
-    pub fn one(&self, what: Count) {
-        self.add(what, 1);
+    pub fn increment(&self, count: Count) {
+        self.add(count, 1);
     }
 
-    /// Counts some.
-    pub fn add(&self, what: Count, more: usize) {
-        let cell = &self.0[what as usize];
-        cell.set(cell.get() + more as u64);
+    pub fn add(&self, count: Count, increment: usize) {
+        let cell = &self.0[count as usize];
+        cell.set(cell.get() + increment as u64);
     }
 
-    /// Counts the end of an attempt.
-    pub fn outcome(&self, outcome: Outcome) {
-        self.one(match outcome {
+    /// Counts an attempt by its outcome.
+    pub fn count_outcome(&self, outcome: Outcome) {
+        self.increment(match outcome {
             Outcome::Ok => Count::Ok,
             Outcome::Error => Count::Error,
             Outcome::Full => Count::Full,
@@ -110,15 +122,15 @@
     }
 }
 
-/// `name=number` pairs, set apart by spaces; those that are 0 are left out.
+/// `name=number` pairs separated by spaces, without the counts that are 0.
 impl fmt::Display for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut gap = "";
-        for (what, name) in COUNTS {
-            let count = self.0[what as usize].get();
-            if count > 0 {
-                write!(f, "{gap}{name}={count}")?;
-                gap = " ";
+        let mut separator = "";
+        for (count, name) in COUNTS {
+            let number = self.0[count as usize].get();
+            if number > 0 {
+                write!(f, "{separator}{name}={number}")?;
+                separator = " ";
             }
         }
         Ok(())
--- a/src/bin/woodgap/discovery/mod.rs
+++ b/src/bin/woodgap/discovery/mod.rs
@@ -1,11 +1,11 @@
 //! Discovery: the list of servers and the watch on its changes.
 //!
-//! The guarantee: what discovery's agent has when a watch falls silent, breaks or is reset is known to the
-//! node within [`keep::SILENCE`] and the time of the first try that the agent answers; tries begin at a pace
-//! that the settings' time for drains bounds, however many of them are swallowed.
+//! Guarantee: when a watch falls silent, breaks or is reset, the node knows the list of discovery's agent within
+//! [`watch_loop::SILENCE_TIMEOUT`] plus the time of the first try to open a new watch that the agent answers. The
+//! interval between tries is bounded by the drain time of the settings, however many of them get no answer.
 
-mod keep;
-mod lists;
+mod list_parser;
+mod watch_loop;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,33 +20,34 @@
 use woodgap::list::ServerList;
 
 use crate::guards::AbortOnDrop;
-pub use keep::Answerer;
-use keep::Feed;
-use lists::{Item, Lists};
+use list_parser::{Item, ListParser};
+pub use watch_loop::EndpointKind;
+use watch_loop::WatchStream;
 
-/// Why a watch did not come up, or ended.
-type Fault = Box<dyn std::error::Error>;
+/// Why a watch could not be opened or has ended.
+type WatchError = Box<dyn std::error::Error>;
 
-/// Watches from a revision on, for as long as it is polled, and hands on what comes. `grace` is the time in
-/// which sends to a draining server have to cease.
+/// Watches the list from a revision on for as long as the future is polled, and passes each list to `on_list`.
+/// `drain_time` is the time within which sends to a draining server have to stop.
 pub async fn watch(
     addr: SocketAddr,
     revision: u64,
-    grace: Duration,
-    answerer: Answerer,
-    tell: impl FnMut(ServerList),
+    drain_time: Duration,
+    kind: EndpointKind,
+    on_list: impl FnMut(ServerList),
 ) {
-    keep::keep(&addr, |revision| open(addr, revision), revision, grace, answerer, tell).await;
+    let open = |revision| open_watch(addr, revision);
+    watch_loop::keep_watch_open(&addr, open, revision, drain_time, kind, on_list).await;
 }
 
-/// An open watch.
-struct Watch {
+/// A watch over HTTP: the body of a response that does not end.
+struct HttpWatch {
     body: Incoming,
-    lists: Lists,
+    parser: ListParser,
     _connection: AbortOnDrop,
 }
 
-async fn open(addr: SocketAddr, revision: u64) -> Result<Watch, Fault> {
+async fn open_watch(addr: SocketAddr, revision: u64) -> Result<HttpWatch, WatchError> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
@@ -56,26 +57,27 @@
         .body(Empty::<Bytes>::new())?;
     let response = sender.send_request(request).await?;
     if response.status() != StatusCode::OK {
-        return Err(format!("watch answered {}", response.status()).into());
+        return Err(format!("discovery responded with {}", response.status()).into());
     }
-    Ok(Watch { body: response.into_body(), lists: Lists::default(), _connection: connection })
+    Ok(HttpWatch { body: response.into_body(), parser: ListParser::default(), _connection: connection })
 }
 
-impl Feed for Watch {
-    async fn next(&mut self) -> Result<Option<ServerList>, Fault> {
+impl WatchStream for HttpWatch {
+    async fn next(&mut self) -> Result<Option<ServerList>, WatchError> {
         loop {
-            match self.lists.next()? {
-                Some(Item::Beat) => return Ok(None),
+            match self.parser.next()? {
+                Some(Item::KeepAlive) => return Ok(None),
                 Some(Item::List(value)) => {
                     return Ok(Some(
-                        ServerList::parse_without_findings(&value).ok_or("an object that is no list")?,
+                        ServerList::parse_without_findings(&value)
+                            .ok_or("an object that is not a list of servers")?,
                     ));
                 }
                 None => {}
             }
-            let frame = self.body.frame().await.ok_or("watch ended")?;
+            let frame = self.body.frame().await.ok_or("discovery closed the watch")?;
             if let Ok(chunk) = frame?.into_data() {
-                self.lists.push(&chunk);
+                self.parser.push(&chunk);
             }
         }
     }
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the decisions: events in, actions carried out in their order.
+//! The driver task. It owns the [`Balancer`], passes it events and executes the actions it returns in their order.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,133 +19,139 @@
 };
 
 use crate::counts::Count;
-use crate::discovery::{watch, Answerer};
+use crate::discovery::{watch, EndpointKind};
 use crate::exchange::OutgoingRequest;
 use crate::guards::AbortOnDrop;
 use crate::peers::Peers;
-use crate::servers::{Ended, Servers, TIDY};
-use crate::witness::{Decision, Witness};
+use crate::revision_reporter::{AttemptGuard, RevisionReporter};
+use crate::servers::{AttemptResult, Servers, MAINTENANCE_INTERVAL};
 
-/// The module answers at the deadline it was given; what it has not answered this much later, the
-/// node answers, whatever the module does.
-const OVERDUE: Duration = Duration::from_millis(5);
-/// The counts are written at each so many tidyings.
-const COUNTS_EVERY: u64 = 2;
+/// The balancer answers a request at its deadline. The driver itself answers a request that is still
+/// unanswered this long after its deadline, whatever the balancer does.
+const DEADLINE_GRACE: Duration = Duration::from_millis(5);
+/// Maintenance runs from one log line of the counts to the next.
+const MAINTENANCE_RUNS_PER_COUNTS_LINE: u64 = 2;
 
-/// A final answer.
-pub enum Answer {
+/// The final response to a client's request.
+pub enum ClientResponse {
     Served(HeaderMap, Bytes),
     Refused(Option<Duration>),
     Failed,
-    /// The node's own, at the deadline.
-    Late,
+    /// Sent by the driver itself when no other response was there by the deadline.
+    DeadlineExceeded,
 }
 
-/// A client's request.
-pub struct Arrival {
-    /// Never used twice: what the client calls it may well be.
+/// A client's request, with the channel for its response.
+pub struct ClientRequest {
+    /// Unique for the life of the process, unlike the id that the client gives in `X-Txn`.
     pub id: u64,
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
-    pub repeat: bool,
+    pub is_client_retry: bool,
     pub cost: Option<Micros>,
     pub deadline: Instant,
-    pub call: Rc<OutgoingRequest>,
-    pub reply: oneshot::Sender<Answer>,
+    pub outgoing: Rc<OutgoingRequest>,
+    pub reply: oneshot::Sender<ClientResponse>,
 }
 
-/// What the sockets tell. There is no bound on the channel: each request, attempt, probe and
-/// watch has a message or two in it at the most, and their numbers are bounded.
-pub enum Msg {
-    Request(Box<Arrival>),
-    /// The client no longer waits.
+/// A message to the driver from a task that serves a socket. The channel is unbounded: each request,
+/// attempt, probe and watch has at most one or two messages in it, and their numbers are bounded.
+pub enum DriverMessage {
+    Request(Box<ClientRequest>),
+    /// The client of the request with this id no longer waits for a response.
     Disconnected(u64),
-    Closed {
+    AttemptEnded {
         id: u64,
         attempt: u32,
-        ended: Ended,
+        result: AttemptResult,
     },
-    Probed {
+    ProbeEnded {
         server: ServerId,
-        ended: Ended,
-        spent: Duration,
+        result: AttemptResult,
+        elapsed: Duration,
     },
-    /// A list that a watch brought.
-    News {
-        watch: u64,
+    /// A list that the watch with this number received.
+    ListReceived {
+        watch_number: u64,
         list: ServerList,
     },
-    Peer {
+    PeerDatagram {
         from: u32,
         data: Vec<u8>,
     },
-    /// Discovery is at this address from now on.
-    Discovery(SocketAddr),
+    /// The configuration file was reloaded and gives this address of discovery.
+    DiscoveryMoved(SocketAddr),
 }
 
-/// An attempt that is out.
-struct Out {
+/// An attempt that has not ended yet.
+struct RunningAttempt {
     server: ServerId,
-    sent: Instant,
-    /// Ends the attempt and closes its connection.
+    sent_at: Instant,
+    /// Dropping it ends the attempt and closes its connection.
     _task: AbortOnDrop,
-    /// What it rests on, where that is asked for.
-    _rests: Option<Decision>,
+    /// Counts the attempt under the list revision it was decided on, if revisions are reported.
+    _revision_guard: Option<AttemptGuard>,
 }
 
-/// A request until it is answered and nothing of it is out.
+/// A request that has no response yet or still has a running attempt.
 struct PendingRequest {
-    /// `None` once it has its answer or its client is gone.
-    reply: Option<oneshot::Sender<Answer>>,
-    call: Rc<OutgoingRequest>,
+    /// `None` once the response was sent or the client has disconnected.
+    reply: Option<oneshot::Sender<ClientResponse>>,
+    outgoing: Rc<OutgoingRequest>,
     deadline: Instant,
-    overdue: delay_queue::Key,
-    attempts: Vec<Option<Out>>,
-    /// An attempt was begun.
-    tried: bool,
+    /// The scheduled [`Scheduled::DeadlineExceeded`] of this request.
+    deadline_timer: delay_queue::Key,
+    /// By attempt number; `None` for an attempt that has ended or was never sent.
+    attempts: Vec<Option<RunningAttempt>>,
+    /// Whether any attempt was started.
+    is_attempted: bool,
 }
 
-/// What falls due.
-enum Due {
+/// Work that the driver has scheduled for a later time.
+enum Scheduled {
+    /// A timer that the balancer has set.
     Timer(TimerId),
-    Overdue(u64),
-    Tidy,
+    /// The request with this id has passed its deadline by [`DEADLINE_GRACE`].
+    DeadlineExceeded(u64),
+    /// The periodic cleanup of idle connections and the log lines of counts and cold sends.
+    Maintenance,
 }
 
+/// The state of the driver task.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     pending: HashMap<u64, PendingRequest>,
-    due: DelayQueue<Due>,
-    /// Events that carrying out actions has brought.
+    schedule: DelayQueue<Scheduled>,
+    /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
     servers: Rc<Servers>,
     peers: Option<Rc<Peers>>,
     discovery: SocketAddr,
-    mode: DiscoveryMode,
+    discovery_mode: DiscoveryMode,
     max_attempts: usize,
+    /// The revision of the list that decisions are based on.
     revision: u64,
-    /// The number of the present watch, and its task.
-    watch: u64,
-    watching: Option<AbortOnDrop>,
-    /// Says what decisions rest on, where that is asked for.
-    witness: Option<Rc<Witness>>,
-    tx: mpsc::UnboundedSender<Msg>,
-    /// How often the connections were tidied.
-    ticks: u64,
+    /// The number of the current watch. Lists of earlier watches are dropped.
+    watch_number: u64,
+    watch_task: Option<AbortOnDrop>,
+    /// Reports the list revision behind each attempt, if the configuration asks for it.
+    reporter: Option<Rc<RevisionReporter>>,
+    tx: mpsc::UnboundedSender<DriverMessage>,
+    maintenance_runs: u64,
 }
 
-/// The module's clock: Unix time at the start and monotonic from there, so that the times at
-/// which servers started need no conversion.
+/// The balancer's clock: Unix time at the start of the process, advanced by the monotonic clock. The start
+/// times of servers, which are Unix times, need no conversion.
 struct Clock {
     start: Instant,
-    unix: Micros,
+    unix_start: Micros,
 }
 
 impl Clock {
     fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix_start + self.start.elapsed().as_micros() as Micros
     }
 }
 
@@ -154,245 +160,253 @@
         config: &Config,
         servers: Rc<Servers>,
         peers: Option<Rc<Peers>>,
-        witness: Option<Rc<Witness>>,
-        tx: mpsc::UnboundedSender<Msg>,
+        reporter: Option<Rc<RevisionReporter>>,
+        tx: mpsc::UnboundedSender<DriverMessage>,
     ) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
+        let unix_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
         Driver {
             balancer: Balancer::new(config.settings.clone(), config.seed),
-            clock: Clock { start: Instant::now(), unix },
+            clock: Clock { start: Instant::now(), unix_start },
             pending: HashMap::new(),
-            due: DelayQueue::new(),
+            schedule: DelayQueue::new(),
             events: VecDeque::new(),
             servers,
             peers,
             discovery: config.discovery,
-            mode: config.settings.discovery_mode,
+            discovery_mode: config.settings.discovery_mode,
             max_attempts: config.settings.max_attempts as usize,
             revision: 0,
-            watch: 0,
-            watching: None,
-            witness,
+            watch_number: 0,
+            watch_task: None,
+            reporter,
             tx,
-            ticks: 0,
+            maintenance_runs: 0,
         }
     }
 
-    /// Starts the module with the list that the node last had.
+    /// Starts the balancer with the list of the configuration, which is the last one that this node had.
     pub fn start(&mut self, known: &ServerList) {
-        self.stand_on(known.revision.unwrap_or(0));
-        let (_, members) = self.servers.apply(known);
+        self.set_revision(known.revision.unwrap_or(0));
+        let (_, members) = self.servers.apply_list(known);
         self.events.push_back(Event::Sync { kind: SyncKind::Cached, members });
-        self.due.insert(Due::Tidy, TIDY);
-        if self.mode == DiscoveryMode::Push {
-            self.subscribe();
+        self.schedule.insert(Scheduled::Maintenance, MAINTENANCE_INTERVAL);
+        if self.discovery_mode == DiscoveryMode::Push {
+            self.open_watch();
         }
-        self.settle();
+        self.process_events();
     }
 
-    pub async fn run(mut self, mut rx: mpsc::UnboundedReceiver<Msg>) {
+    /// Handles messages and scheduled work for the life of the process.
+    pub async fn run(mut self, mut rx: mpsc::UnboundedReceiver<DriverMessage>) {
         loop {
             tokio::select! {
-                msg = rx.recv() => match msg {
-                    Some(msg) => self.take(msg),
+                message = rx.recv() => match message {
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(due) = std::future::poll_fn(|cx| self.due.poll_expired(cx)) => {
-                    self.fall_due(due.into_inner());
+                Some(expired) = std::future::poll_fn(|cx| self.schedule.poll_expired(cx)) => {
+                    self.run_scheduled(expired.into_inner());
                 }
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    fn fall_due(&mut self, due: Due) {
-        match due {
-            Due::Timer(timer) => self.events.push_back(Event::TimerExpired(timer)),
-            Due::Tidy => {
-                self.servers.tidy();
-                self.servers.write_cold();
-                self.due.insert(Due::Tidy, TIDY);
-                self.ticks += 1;
-                if self.ticks.is_multiple_of(COUNTS_EVERY) {
-                    self.count_line();
+    fn run_scheduled(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Timer(timer) => self.events.push_back(Event::TimerExpired(timer)),
+            Scheduled::Maintenance => {
+                self.servers.close_stale_idle();
+                self.servers.log_cold_sends();
+                self.schedule.insert(Scheduled::Maintenance, MAINTENANCE_INTERVAL);
+                self.maintenance_runs += 1;
+                if self.maintenance_runs.is_multiple_of(MAINTENANCE_RUNS_PER_COUNTS_LINE) {
+                    self.log_counts();
                 }
             }
-            Due::Overdue(id) => {
+            Scheduled::DeadlineExceeded(id) => {
                 if let Some(pending) = self.pending.get_mut(&id) {
                     if let Some(reply) = pending.reply.take() {
-                        let request = txn(&pending.call);
-                        tracing::warn!(request, "not answered by its deadline");
-                        // What no server has seen may be asked again without harm.
-                        let (count, answer) = match pending.call.was_sent.get() {
-                            true => (Count::Late, Answer::Late),
-                            false => (Count::RefusedUntried, Answer::Refused(None)),
+                        let request = client_request_id(&pending.outgoing);
+                        tracing::warn!(request, "request not answered by its deadline");
+                        // The client may safely repeat a request that was never written to a server.
+                        let (count, response) = match pending.outgoing.was_sent.get() {
+                            true => (Count::Late, ClientResponse::DeadlineExceeded),
+                            false => (Count::RefusedUntried, ClientResponse::Refused(None)),
                         };
-                        self.servers.counts.one(count);
-                        let _ = reply.send(answer);
-                        pending.call.is_finished.set(true);
+                        self.servers.counts.increment(count);
+                        let _ = reply.send(response);
+                        pending.outgoing.is_finished.set(true);
                         self.events.push_back(Event::RequestEnded(request_id(id)));
-                        // One with no attempt out ends here; nothing else would forget it.
-                        self.forget(id);
+                        // No later event removes a request that has no running attempt.
+                        self.remove_if_finished(id);
                     }
                 }
             }
         }
     }
 
-    fn take(&mut self, msg: Msg) {
-        match msg {
-            Msg::Request(arrival) => self.request(*arrival),
-            Msg::Disconnected(id) => {
+    fn handle_message(&mut self, message: DriverMessage) {
+        match message {
+            DriverMessage::Request(request) => self.accept_request(*request),
+            DriverMessage::Disconnected(id) => {
                 let Some(pending) = self.pending.get_mut(&id) else { return };
                 if pending.reply.take().is_some() {
-                    self.servers.counts.one(Count::Disconnected);
-                    self.due.remove(&pending.overdue);
+                    self.servers.counts.increment(Count::Disconnected);
+                    self.schedule.remove(&pending.deadline_timer);
                     self.events.push_back(Event::RequestEnded(request_id(id)));
-                    self.forget(id);
+                    self.remove_if_finished(id);
                 }
             }
-            Msg::Closed { id, attempt, ended } => self.closed(id, attempt, ended),
-            Msg::Probed { server, ended, spent } => {
-                let Ended { outcome, load, .. } = ended;
-                let spent = spent.as_micros() as Micros;
-                self.events.push_back(Event::ProbeEnded {
-                    server,
-                    outcome,
-                    elapsed: spent,
-                    load_report: load,
-                });
+            DriverMessage::AttemptEnded { id, attempt, result } => self.finish_attempt(id, attempt, result),
+            DriverMessage::ProbeEnded { server, result, elapsed } => {
+                let AttemptResult { outcome, load_report, .. } = result;
+                let elapsed = elapsed.as_micros() as Micros;
+                self.events.push_back(Event::ProbeEnded { server, outcome, elapsed, load_report });
+            }
+            DriverMessage::ListReceived { watch_number, list } if watch_number == self.watch_number => {
+                self.apply_list(&list)
             }
-            Msg::News { watch, list } if watch == self.watch => self.news(&list),
-            Msg::News { .. } => {}
-            Msg::Peer { from, data } => self.events.push_back(Event::PeerMessage { from, data }),
-            Msg::Discovery(addr) if addr == self.discovery => {}
-            Msg::Discovery(addr) => {
-                // The list stays until the new place has told its own, whole: its revisions may count
-                // other changes.
-                (self.discovery, self.revision, self.watching) = (addr, 0, None);
-                self.subscribe();
+            DriverMessage::ListReceived { .. } => {}
+            DriverMessage::PeerDatagram { from, data } => {
+                self.events.push_back(Event::PeerMessage { from, data })
+            }
+            DriverMessage::DiscoveryMoved(addr) if addr == self.discovery => {}
+            DriverMessage::DiscoveryMoved(addr) => {
+                // The old list stays in use until the new address has sent a complete one. Revision 0 asks
+                // for it: the revisions of the new address may stand for other changes.
+                (self.discovery, self.revision, self.watch_task) = (addr, 0, None);
+                self.open_watch();
             }
         }
     }
 
-    fn request(&mut self, arrival: Arrival) {
-        let Arrival { id, class, tenant, key, repeat, cost, deadline, call, reply } = arrival;
-        self.servers.counts.one(Count::Requests);
-        if call.is_finished.get() {
-            // It left while it waited here: the module never hears of it.
-            return self.servers.counts.one(Count::Disconnected);
+    fn accept_request(&mut self, request: ClientRequest) {
+        let ClientRequest { id, class, tenant, key, is_client_retry, cost, deadline, outgoing, reply } =
+            request;
+        self.servers.counts.increment(Count::Requests);
+        if outgoing.is_finished.get() {
+            // The client left while the request waited in the channel. The balancer never sees it.
+            return self.servers.counts.increment(Count::Disconnected);
         }
-        let patience = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        let overdue = self.due.insert_at(Due::Overdue(id), deadline + OVERDUE);
+        let time_left = deadline.saturating_duration_since(Instant::now()).as_micros() as Micros;
+        let deadline_timer =
+            self.schedule.insert_at(Scheduled::DeadlineExceeded(id), deadline + DEADLINE_GRACE);
         self.pending.insert(
             id,
             PendingRequest {
                 reply: Some(reply),
-                call,
+                outgoing,
                 deadline,
-                overdue,
+                deadline_timer,
                 attempts: Vec::new(),
-                tried: false,
+                is_attempted: false,
             },
         );
         let id = request_id(id);
         self.events.push_back(Event::Request(Request {
             id,
-            time_left: patience,
+            time_left,
             class,
             cost,
-            is_client_retry: repeat,
+            is_client_retry,
             tenant,
             key,
         }));
     }
 
-    /// Answers a request, unless it has its answer.
-    fn answer(&mut self, id: u64, answer: Answer) {
+    /// Sends the response to a request, unless it has one.
+    fn respond(&mut self, id: u64, response: ClientResponse) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if let Some(reply) = pending.reply.take() {
-            if !matches!(answer, Answer::Late) {
-                self.due.remove(&pending.overdue);
+            if !matches!(response, ClientResponse::DeadlineExceeded) {
+                self.schedule.remove(&pending.deadline_timer);
             }
-            self.servers.counts.one(match (&answer, pending.tried) {
-                (Answer::Served(..), _) => Count::Served,
-                (Answer::Refused(_), false) => Count::RefusedUntried,
-                (Answer::Refused(_), true) => Count::RefusedTried,
-                (Answer::Failed, false) => Count::FailedUntried,
-                (Answer::Failed, true) => Count::FailedTried,
-                (Answer::Late, _) => Count::Late,
+            self.servers.counts.increment(match (&response, pending.is_attempted) {
+                (ClientResponse::Served(..), _) => Count::Served,
+                (ClientResponse::Refused(_), false) => Count::RefusedUntried,
+                (ClientResponse::Refused(_), true) => Count::RefusedTried,
+                (ClientResponse::Failed, false) => Count::FailedUntried,
+                (ClientResponse::Failed, true) => Count::FailedTried,
+                (ClientResponse::DeadlineExceeded, _) => Count::Late,
             });
-            let _ = reply.send(answer);
-            pending.call.is_finished.set(true);
+            let _ = reply.send(response);
+            pending.outgoing.is_finished.set(true);
         }
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    /// Drops what is over.
-    fn forget(&mut self, id: u64) {
-        let over = |pending: &PendingRequest| {
+    /// Removes a request that needs no response and has no running attempt.
+    fn remove_if_finished(&mut self, id: u64) {
+        let is_finished = |pending: &PendingRequest| {
             pending.reply.is_none() && pending.attempts.iter().all(Option::is_none)
         };
-        if self.pending.get(&id).is_some_and(over) {
+        if self.pending.get(&id).is_some_and(is_finished) {
             self.pending.remove(&id);
         }
     }
 
-    fn closed(&mut self, id: u64, attempt: u32, ended: Ended) {
+    /// Records the result of an attempt and passes a server's response on to the client.
+    fn finish_attempt(&mut self, id: u64, attempt: u32, result: AttemptResult) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        // One that was cancelled meanwhile has had its outcome.
-        let Some(out) = pending.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        let Ended { outcome, load, answer } = ended;
-        self.servers.counts.outcome(outcome);
+        // The outcome of an attempt that was cancelled meanwhile is already reported.
+        let Some(running) = pending.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        let AttemptResult { outcome, load_report, response } = result;
+        self.servers.counts.count_outcome(outcome);
         tracing::debug!(
-            request = txn(&pending.call),
+            request = client_request_id(&pending.outgoing),
             attempt,
-            server = self.servers.name(out.server),
+            server = self.servers.server_name(running.server),
             ?outcome,
-            spent_us = out.sent.elapsed().as_micros() as Micros,
+            spent_us = running.sent_at.elapsed().as_micros() as Micros,
             "attempt ended"
         );
-        if let Some((headers, body)) = answer {
-            self.answer(id, Answer::Served(headers, body));
+        if let Some((headers, body)) = response {
+            self.respond(id, ClientResponse::Served(headers, body));
         }
-        let done = self.pending.get(&id).is_none_or(|pending| pending.reply.is_none());
-        let spent = out.sent.elapsed().as_micros() as Micros;
-        let (server, id_) = (out.server, request_id(id));
-        self.events.push_back(Event::AttemptEnded(AttemptEnd {
-            id: id_,
+        let is_request_done = self.pending.get(&id).is_none_or(|pending| pending.reply.is_none());
+        let elapsed = running.sent_at.elapsed().as_micros() as Micros;
+        let server = running.server;
+        let attempt_end = AttemptEnd {
+            id: request_id(id),
             attempt,
             server,
             outcome,
-            elapsed: spent,
-            is_request_done: done,
-            load_report: load,
-        }));
-        self.forget(id);
+            elapsed,
+            is_request_done,
+            load_report,
+        };
+        self.events.push_back(Event::AttemptEnded(attempt_end));
+        self.remove_if_finished(id);
     }
 
-    fn news(&mut self, list: &ServerList) {
+    /// Applies a list that the watch has received.
+    fn apply_list(&mut self, list: &ServerList) {
         #[cfg(feature = "faults")]
-        if self.ignores(list) {
+        if self.ignores_list(list) {
             return;
         }
-        self.stand_on(list.revision.unwrap_or(self.revision));
-        let (kind, members) = self.servers.apply(list);
+        self.set_revision(list.revision.unwrap_or(self.revision));
+        let (kind, members) = self.servers.apply_list(list);
         tracing::debug!(revision = self.revision, ?kind, entries = members.len(), "list");
         self.events.push_back(Event::Sync { kind, members });
     }
 
-    /// Decisions rest on this revision from now on: what came is applied before the next one.
-    fn stand_on(&mut self, revision: u64) {
+    /// Notes the revision that decisions are based on from now on. Every list is applied before the next
+    /// decision.
+    fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
-        if let Some(witness) = &self.witness {
-            witness.stands_on(revision);
+        if let Some(reporter) = &self.reporter {
+            reporter.set_revision(revision);
         }
     }
 
-    /// A fault for tests, `WOODGAP_FAULT`. `stuck` or `liar`: it acts on no list but its first one, and says so or
-    /// not. `crash`: it ends a moment after it acts on a list with the server `x-bad`.
+    /// Injects the fault that a test asks for with `WOODGAP_FAULT`, and tells whether to ignore the list.
+    /// `stuck` and `liar` ignore every list after the first; `stuck` reports the revision that it acts on, `liar`
+    /// the one that it ignores. `crash` ends the process 1.2 s after a list that has the server `x-bad`.
     #[cfg(feature = "faults")]
-    fn ignores(&self, list: &ServerList) -> bool {
+    fn ignores_list(&self, list: &ServerList) -> bool {
         let fault = std::env::var("WOODGAP_FAULT").unwrap_or_default();
         if fault == "crash" && list.entries.iter().any(|entry| entry.id == "x-bad") {
             spawn_local(async {
@@ -401,49 +415,50 @@
             });
         }
         let ignores = self.revision > 0 && matches!(fault.as_str(), "stuck" | "liar");
-        if let (true, "liar", Some(witness), Some(revision)) =
-            (ignores, fault.as_str(), &self.witness, list.revision)
+        if let (true, "liar", Some(reporter), Some(revision)) =
+            (ignores, fault.as_str(), &self.reporter, list.revision)
         {
-            witness.claim(revision);
+            reporter.set_false_revision(revision);
         }
         ignores
     }
 
-    /// Hands the module what has come and carries out what it says, until all is quiet.
-    fn settle(&mut self) {
+    /// Passes all pending events to the balancer and executes its actions, including those that follow from
+    /// events that an action causes.
+    fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.balancer.on_event(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, server, timeout, send_within } => {
-                self.send(number(&id), server, timeout, send_within);
+                self.start_attempt(request_number(&id), server, timeout, send_within);
             }
-            Action::Cancel { id, attempt } => self.cancel(number(&id), attempt),
+            Action::Cancel { id, attempt } => self.cancel_attempt(request_number(&id), attempt),
             Action::Refuse { id, retry_after } => {
-                let wait = (retry_after > 0).then(|| Duration::from_micros(retry_after));
-                self.answer(number(&id), Answer::Refused(wait));
+                let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
+                self.respond(request_number(&id), ClientResponse::Refused(retry_after));
             }
-            Action::Fail { id } => self.answer(number(&id), Answer::Failed),
+            Action::Fail { id } => self.respond(request_number(&id), ClientResponse::Failed),
             Action::Probe(server) => {
                 let (servers, tx) = (self.servers.clone(), self.tx.clone());
                 spawn_local(async move {
-                    let sent = Instant::now();
-                    let ended = servers.probe(server).await;
-                    let _ = tx.send(Msg::Probed { server, ended, spent: sent.elapsed() });
+                    let sent_at = Instant::now();
+                    let result = servers.send_probe(server).await;
+                    let _ = tx.send(DriverMessage::ProbeEnded { server, result, elapsed: sent_at.elapsed() });
                 });
             }
             Action::CloseIdleConnections(server) => self.servers.close_idle(server),
             Action::SetTimer { delay, timer } => {
-                self.due.insert(Due::Timer(timer), Duration::from_micros(delay));
+                self.schedule.insert(Scheduled::Timer(timer), Duration::from_micros(delay));
             }
-            Action::Subscribe => self.subscribe(),
+            Action::Subscribe => self.open_watch(),
             Action::SendMessage { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.send(peer, &data);
@@ -453,107 +468,118 @@
         }
     }
 
-    fn send(&mut self, id: u64, server: ServerId, limit: Micros, begin_within: Option<Micros>) {
+    /// Starts an attempt, or reports it as [`Outcome::Moot`] where the request is over, has had its last attempt
+    /// or is past its deadline.
+    fn start_attempt(&mut self, id: u64, server: ServerId, timeout: Micros, send_within: Option<Micros>) {
         let now = Instant::now();
         let pending = self.pending.get_mut(&id);
         let attempt = pending.as_ref().map_or(0, |pending| pending.attempts.len());
-        let lawful = pending
-            .filter(|h| h.reply.is_some() && !h.call.is_finished.get())
-            .filter(|h| attempt < self.max_attempts && now < h.deadline);
-        let Some(pending) = lawful else {
-            // Nothing goes out for what is over.
-            let done = self.pending.get(&id).is_none_or(|pending| pending.reply.is_none());
+        let sendable = pending
+            .filter(|pending| pending.reply.is_some() && !pending.outgoing.is_finished.get())
+            .filter(|pending| attempt < self.max_attempts && now < pending.deadline);
+        let Some(pending) = sendable else {
+            let is_request_done = self.pending.get(&id).is_none_or(|pending| pending.reply.is_none());
             if let Some(pending) = self.pending.get_mut(&id) {
                 pending.attempts.push(None);
             }
             let (id, attempt, outcome) = (request_id(id), attempt as u32, Outcome::Moot);
-            self.servers.counts.outcome(outcome);
-            let closed = AttemptEnd {
+            self.servers.counts.count_outcome(outcome);
+            let attempt_end = AttemptEnd {
                 id,
                 attempt,
                 server,
                 outcome,
                 elapsed: 0,
-                is_request_done: done,
+                is_request_done,
                 load_report: Vec::new(),
             };
-            return self.events.push_back(Event::AttemptEnded(closed));
+            return self.events.push_back(Event::AttemptEnded(attempt_end));
         };
-        let until = match limit {
+        let deadline = match timeout {
             0 => pending.deadline,
-            limit => pending.deadline.min(now + Duration::from_micros(limit)),
+            timeout => pending.deadline.min(now + Duration::from_micros(timeout)),
         };
-        let begin_by = begin_within.map_or(until, |within| until.min(now + Duration::from_micros(within)));
-        let (servers, call, tx) = (self.servers.clone(), pending.call.clone(), self.tx.clone());
+        let send_by =
+            send_within.map_or(deadline, |within| deadline.min(now + Duration::from_micros(within)));
+        let (servers, outgoing, tx) = (self.servers.clone(), pending.outgoing.clone(), self.tx.clone());
         let attempt = attempt as u32;
-        let (rests, acted_on) = self.witness.as_ref().map(Witness::decide).unzip();
+        let (guard, acted_on) = self.reporter.as_ref().map(RevisionReporter::begin_attempt).unzip();
         let task = AbortOnDrop::spawn(async move {
-            let ended = servers.attempt(server, &call, until, begin_by, acted_on.flatten().as_ref()).await;
-            let _ = tx.send(Msg::Closed { id, attempt, ended });
+            let result =
+                servers.send_attempt(server, &outgoing, deadline, send_by, acted_on.flatten().as_ref()).await;
+            let _ = tx.send(DriverMessage::AttemptEnded { id, attempt, result });
         });
-        pending.attempts.push(Some(Out { server, sent: now, _task: task, _rests: rests }));
-        pending.tried = true;
+        pending.attempts.push(Some(RunningAttempt {
+            server,
+            sent_at: now,
+            _task: task,
+            _revision_guard: guard,
+        }));
+        pending.is_attempted = true;
     }
 
-    fn cancel(&mut self, id: u64, attempt: u32) {
+    fn cancel_attempt(&mut self, id: u64, attempt: u32) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        let Some(out) = pending.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        let spent = out.sent.elapsed().as_micros() as Micros;
-        let (server, done) = (out.server, pending.reply.is_none());
-        drop(out);
-        // It may be silent because its machine is gone: see `Servers::attempt`.
+        let Some(running) = pending.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        let elapsed = running.sent_at.elapsed().as_micros() as Micros;
+        let (server, is_request_done) = (running.server, pending.reply.is_none());
+        drop(running);
+        // The server may be silent because its machine is gone: see the time-out in `Servers::send_attempt`.
         self.servers.close_idle(server);
-        let (id_, outcome) = (request_id(id), Outcome::Cancelled);
-        self.servers.counts.outcome(outcome);
+        let outcome = Outcome::Cancelled;
+        self.servers.counts.count_outcome(outcome);
         self.events.push_back(Event::AttemptEnded(AttemptEnd {
-            id: id_,
+            id: request_id(id),
             attempt,
             server,
             outcome,
-            elapsed: spent,
-            is_request_done: done,
+            elapsed,
+            is_request_done,
             load_report: Vec::new(),
         }));
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    /// Writes the counts to the log, where they are asked for.
-    fn count_line(&self) {
+    /// Logs the counts, if the log filter enables their target.
+    fn log_counts(&self) {
         tracing::debug!(target: "woodgap::counts", counts = %self.servers.counts, "counts");
     }
 
-    /// Opens a watch, unless there is one: it is opened anew by itself for as long as it is held.
-    fn subscribe(&mut self) {
-        if self.watching.is_some() {
+    /// Starts the watch task unless there is one. The task reopens a broken watch until it is dropped.
+    fn open_watch(&mut self) {
+        if self.watch_task.is_some() {
             return;
         }
-        self.watch += 1;
-        let (number, tx, grace) = (self.watch, self.tx.clone(), self.servers.drain_grace());
+        self.watch_number += 1;
+        let (watch_number, tx, drain_time) = (self.watch_number, self.tx.clone(), self.servers.drain_time());
         let (addr, revision) = (self.discovery, self.revision);
-        let answerer = match self.mode {
-            DiscoveryMode::Push => Answerer::Agent,
-            DiscoveryMode::Subscribe => Answerer::Service,
+        let kind = match self.discovery_mode {
+            DiscoveryMode::Push => EndpointKind::Agent,
+            DiscoveryMode::Subscribe => EndpointKind::SharedService,
         };
-        self.watching = Some(AbortOnDrop::spawn(async move {
-            watch(addr, revision, grace, answerer, |list| drop(tx.send(Msg::News { watch: number, list })))
-                .await;
+        self.watch_task = Some(AbortOnDrop::spawn(async move {
+            watch(addr, revision, drain_time, kind, |list| {
+                drop(tx.send(DriverMessage::ListReceived { watch_number, list }))
+            })
+            .await;
         }));
     }
 }
 
-/// What the client calls a request, for the log.
-fn txn(call: &OutgoingRequest) -> Option<&str> {
-    call.headers.get("x-txn")?.to_str().ok()
+/// The id that the client gave the request, for the log.
+fn client_request_id(request: &OutgoingRequest) -> Option<&str> {
+    request.headers.get("x-txn")?.to_str().ok()
 }
 
-/// A request's number in the module's form, and back.
+/// Converts a request's number to the balancer's form of ids.
 fn request_id(id: u64) -> RequestId {
     let mut bytes = [0; 36];
     bytes[..8].copy_from_slice(&id.to_le_bytes());
     RequestId(bytes)
 }
 
-fn number(id: &RequestId) -> u64 {
+/// Converts the balancer's form of an id back to the request's number.
+fn request_number(id: &RequestId) -> u64 {
     let mut bytes = [0; 8];
     bytes.copy_from_slice(&id.0[..8]);
     u64::from_le_bytes(bytes)
--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -25,8 +25,8 @@
 use woodgap::Outcome;
 
 use crate::guards::{AbortOnDrop, SocketPermit};
+use crate::revision_reporter::ACTED_ON_HEADER;
 use crate::stream;
-use crate::witness::HEADER;
 
 /// Largest body of a request or a response.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -262,7 +262,7 @@
     let remaining_ms = deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
     let headers = request.headers_mut();
     if let Some(acted_on) = acted_on {
-        headers.insert(HEADER, acted_on.clone());
+        headers.insert(ACTED_ON_HEADER, acted_on.clone());
     }
     headers.insert("x-remaining-ms", HeaderValue::from(remaining_ms.max(1)));
     if !headers.contains_key(HOST) {
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -15,9 +15,9 @@
 mod log;
 mod peers;
 mod request;
+mod revision_reporter;
 mod servers;
 mod stream;
-mod witness;
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -29,11 +29,11 @@
 use tracing::{info, info_span, warn};
 
 use clients::Clients;
-use driver::{Driver, Msg};
+use driver::{Driver, DriverMessage};
 use guards::SocketBudget;
 use peers::Peers;
+use revision_reporter::RevisionReporter;
 use servers::Servers;
-use witness::Witness;
 use woodgap::config::{self, Config, REJECTION_CONNECTIONS, RESERVED_DESCRIPTORS};
 
 /// Part of the sockets that clients may use. Open requests need as many sockets to servers, and clients keep
@@ -57,9 +57,9 @@
     let (tx, rx) = mpsc::unbounded_channel();
     let sockets = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
     let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(sockets));
-    let witness = config.is_audited.then(|| Witness::new(&config.name));
+    let reporter = config.is_audited.then(|| RevisionReporter::new(&config.name));
     let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
-    let mut driver = Driver::new(&config, servers.clone(), peers.clone(), witness.clone(), tx.clone());
+    let mut driver = Driver::new(&config, servers.clone(), peers.clone(), reporter.clone(), tx.clone());
     driver.start(&config.cached_list);
     let client_sockets = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
     let clients = Clients::new(
@@ -68,18 +68,18 @@
         config.node_settings.max_open_requests.min((config.max_memory_bytes / OPEN_REQUEST_BYTES).max(1)),
         servers,
         (SocketBudget::new(client_sockets), SocketBudget::new(REJECTION_CONNECTIONS)),
-        witness.clone(),
+        reporter.clone(),
         tx.clone(),
     );
-    if let Some(witness) = witness {
-        spawn_local(witness.tell(agent.clone()));
+    if let Some(reporter) = reporter {
+        spawn_local(reporter.run(agent.clone()));
     }
     if let Some(peers) = peers {
         let tx = tx.clone();
         spawn_local(async move {
             loop {
                 let (from, data) = peers.receive().await;
-                let _ = tx.send(Msg::Peer { from, data });
+                let _ = tx.send(DriverMessage::PeerDatagram { from, data });
             }
         });
     }
@@ -89,7 +89,7 @@
                 Ok(addr) => {
                     info!(discovery = %addr, "configuration reloaded");
                     agent.set(addr);
-                    let _ = tx.send(Msg::Discovery(addr));
+                    let _ = tx.send(DriverMessage::DiscoveryMoved(addr));
                 }
                 Err(error) => warn!(%error, "configuration not reloaded; the old one stays in effect"),
             }
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -1,4 +1,4 @@
-//! The servers' side: connections, attempts and probes, and what became of them.
+//! The servers of the current list: their addresses and idle connections, and the attempts and probes sent to them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 use woodgap::settings::ZoneIds;
 use woodgap::{CellId, Member, Outcome, ServerId, ServerState, SyncKind};
 
-use crate::cold::{ColdSends, Start};
+use crate::cold::{ColdSends, ServerStart};
 use crate::counts::{Count, Counts};
 use crate::exchange::{
     build_request, classify_response, parse_load_report, ExchangeResult, OutgoingRequest, ServerConnection,
@@ -24,70 +24,77 @@
 };
 use crate::guards::{SocketBudget, SocketPermit};
 
-/// Connections are reused for this part of the time that servers keep them: a request that meets
-/// the server's close on its way ends as a reset, and an unsafe one can't be sent again.
-const REUSE: f64 = 0.6;
+/// How often the driver calls [`Servers::close_stale_idle`] and [`Servers::log_cold_sends`].
+pub const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// The part of the servers' keep-alive time for which an idle connection is reused. A request that crosses
+/// the server's close on the wire ends as a reset, and an unsafe request can't be sent again after one.
+const REUSE_PART: f64 = 0.6;
 
-/// How an attempt ended.
-pub struct Ended {
+/// The result of an attempt or a probe.
+pub struct AttemptResult {
     pub outcome: Outcome,
-    pub load: Vec<f64>,
-    /// A server's answer to the client, whole.
-    pub answer: Option<(HeaderMap, Bytes)>,
+    /// The load report in the server's response, empty if there was none.
+    pub load_report: Vec<f64>,
+    /// The server's complete response, to be passed on to the client.
+    pub response: Option<(HeaderMap, Bytes)>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, load: Vec::new(), answer: None }
+        AttemptResult { outcome, load_report: Vec::new(), response: None }
     }
 }
 
-struct Entry {
+/// A server on the list and the idle connections to it.
+struct ServerEntry {
     addr: SocketAddr,
+    /// When the server's process started: Unix time in milliseconds.
     since_ms: u64,
-    /// New with each restart, change of address or return to the list: connections of another epoch
-    /// lead to a process that is gone and are not used.
+    /// Changes with each restart, change of address or return to the list. A connection of another epoch
+    /// leads to a process that is gone and is not used.
     epoch: u64,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<ServerConnection>,
     size: f64,
-    /// It wants nothing new.
-    draining: bool,
-    /// Another server listens at its address now.
-    replaced: bool,
+    /// The list says that the server takes no new requests.
+    is_draining: bool,
+    /// Another server in service has this server's address.
+    is_replaced: bool,
 }
 
 /// All servers on the list.
 pub struct Servers {
-    figures: NodeSettings,
-    budget: Rc<SocketBudget>,
-    entries: RefCell<HashMap<ServerId, Entry>>,
+    settings: NodeSettings,
+    /// The sockets that the node may open, to servers and to clients together.
+    socket_budget: Rc<SocketBudget>,
+    entries: RefCell<HashMap<ServerId, ServerEntry>>,
+    /// The ids that discovery gives the servers, by the balancer's numbers for them.
     names: RefCell<HashMap<u32, String>>,
-    epochs: Cell<u64>,
+    last_epoch: Cell<u64>,
     zones: RefCell<ZoneIds>,
-    cold: ColdSends,
-    /// What the node has done so far.
+    cold_sends: ColdSends,
+    /// The node's counts, for the log.
     pub counts: Counts,
 }
 
 impl Servers {
-    pub fn new(figures: NodeSettings, budget: Rc<SocketBudget>) -> Rc<Self> {
+    pub fn new(settings: NodeSettings, socket_budget: Rc<SocketBudget>) -> Rc<Self> {
         Rc::new(Servers {
-            budget,
+            socket_budget,
             entries: RefCell::default(),
             names: RefCell::default(),
-            epochs: Cell::new(0),
+            last_epoch: Cell::new(0),
             zones: RefCell::default(),
-            cold: ColdSends::new(figures.ramp),
+            cold_sends: ColdSends::new(settings.ramp),
             counts: Counts::default(),
-            figures,
+            settings,
         })
     }
 
     // The list.
 
-    /// Takes over a list and puts it in the module's words.
-    pub fn apply(&self, list: &ServerList) -> (SyncKind, Vec<Member>) {
+    /// Applies a list, and converts it to the kind and the members that the balancer is told.
+    pub fn apply_list(&self, list: &ServerList) -> (SyncKind, Vec<Member>) {
         let mut entries = self.entries.borrow_mut();
         let mut names = self.names.borrow_mut();
         let mut zones = self.zones.borrow_mut();
@@ -110,40 +117,41 @@
                 continue;
             }
             names.insert(number, entry.id.clone());
-            let known = entries.entry(server).or_insert_with(|| Entry {
+            let known = entries.entry(server).or_insert_with(|| ServerEntry {
                 addr: entry.addr,
                 since_ms: entry.up_since_ms,
                 epoch: self.next_epoch(),
                 idle: Vec::new(),
                 size: entry.size,
-                draining: false,
-                replaced: false,
+                is_draining: false,
+                is_replaced: false,
             });
-            // A restarted process, or one that moved, knows nothing of the old connections.
+            // The old connections lead to the process from before the restart or the move.
             if (known.addr, known.since_ms) != (entry.addr, entry.up_since_ms) {
                 (known.addr, known.since_ms) = (entry.addr, entry.up_since_ms);
                 known.epoch = self.next_epoch();
                 known.idle.clear();
             }
             if entry.state == ServerState::InService {
-                (known.draining, known.replaced) = (false, false);
+                (known.is_draining, known.is_replaced) = (false, false);
                 in_service.push((server, entry.addr));
             } else {
-                known.draining = true;
+                known.is_draining = true;
                 known.idle.clear();
             }
         }
-        // A machine that took over another's address: what is meant for the old one must not reach it.
-        let taken: HashMap<SocketAddr, ServerId> =
+        // Requests for a server must not reach another one that has taken over its address.
+        let address_owners: HashMap<SocketAddr, ServerId> =
             in_service.into_iter().map(|(id, addr)| (addr, id)).collect();
         for (server, entry) in entries.iter_mut() {
-            if taken.get(&entry.addr).is_some_and(|owner| owner != server) {
-                entry.replaced = true;
+            if address_owners.get(&entry.addr).is_some_and(|owner| owner != server) {
+                entry.is_replaced = true;
                 entry.idle.clear();
             }
         }
         if list.is_complete {
-            let listed: std::collections::HashSet<ServerId> = members.iter().map(|m| m.server).collect();
+            let listed: std::collections::HashSet<ServerId> =
+                members.iter().map(|member| member.server).collect();
             entries.retain(|server, _| listed.contains(server));
             names.retain(|&number, _| listed.contains(&ServerId(number)));
             return (SyncKind::Full, members);
@@ -152,25 +160,26 @@
     }
 
     fn next_epoch(&self) -> u64 {
-        self.epochs.set(self.epochs.get() + 1);
-        self.epochs.get()
+        self.last_epoch.set(self.last_epoch.get() + 1);
+        self.last_epoch.get()
     }
 
-    /// Where a server listens, unless it went or drains. Guards against a send that waited for its connection
-    /// meanwhile: nothing of it has run, so it goes elsewhere at once.
+    /// A server's address and epoch, or `None` if it is off the list, draining or replaced. An attempt checks
+    /// it again once its connection is up: nothing of the attempt has run by then, so the balancer can send the
+    /// request elsewhere at once.
     fn address(&self, server: ServerId) -> Option<(SocketAddr, u64)> {
         let entries = self.entries.borrow();
         let entry = entries.get(&server)?;
-        (!entry.draining && !entry.replaced).then_some((entry.addr, entry.epoch))
+        (!entry.is_draining && !entry.is_replaced).then_some((entry.addr, entry.epoch))
     }
 
-    /// The time in which sends to a draining server have to cease.
-    pub fn drain_grace(&self) -> Duration {
-        self.figures.drain_time
+    /// The time within which sends to a draining server have to stop.
+    pub fn drain_time(&self) -> Duration {
+        self.settings.drain_time
     }
 
-    /// What discovery calls a server.
-    pub fn name(&self, server: ServerId) -> Option<String> {
+    /// The id that discovery gives a server.
+    pub fn server_name(&self, server: ServerId) -> Option<String> {
         self.names.borrow().get(&server.0).cloned()
     }
 
@@ -184,191 +193,205 @@
         }
     }
 
-    /// Closes what has been idle for long or was closed by its server. To be called now and then.
-    pub fn tidy(&self) {
-        let longest = self.figures.keepalive.mul_f64(REUSE);
+    /// Drops idle connections that their server has closed or that have been idle for too long to be reused.
+    pub fn close_stale_idle(&self) {
+        let max_idle = self.settings.keepalive.mul_f64(REUSE_PART);
         for entry in self.entries.borrow_mut().values_mut() {
-            let held = entry.idle.len();
-            entry.idle.retain(|link| !link.is_closed());
+            let before = entry.idle.len();
+            entry.idle.retain(|connection| !connection.is_closed());
             let open = entry.idle.len();
-            entry.idle.retain(|link| link.idle_since.elapsed() < longest);
-            self.counts.add(Count::IdleBroken, held - open);
+            entry.idle.retain(|connection| connection.idle_since.elapsed() < max_idle);
+            self.counts.add(Count::IdleBroken, before - open);
             self.counts.add(Count::IdleExpired, open - entry.idle.len());
         }
     }
 
     /// Closes the connection that has been idle for longest; `false` if there is none.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idle(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
-        let oldest = entries.values_mut().filter(|e| !e.idle.is_empty()).min_by_key(|e| e.idle[0].idle_since);
+        let oldest = entries
+            .values_mut()
+            .filter(|entry| !entry.idle.is_empty())
+            .min_by_key(|entry| entry.idle[0].idle_since);
         let found = oldest.map(|entry| drop(entry.idle.remove(0))).is_some();
         self.counts.add(Count::IdleEvicted, usize::from(found));
         found
     }
 
-    /// The connection used last of those that have rested and nothing came on.
-    fn idle_link(&self, server: ServerId) -> Option<ServerConnection> {
-        let longest = self.figures.keepalive.mul_f64(REUSE);
+    /// Takes the most recently used idle connection that has been idle for [`MIN_IDLE_BEFORE_REUSE`], is open and has
+    /// received no bytes meanwhile.
+    fn take_idle_connection(&self, server: ServerId) -> Option<ServerConnection> {
+        let max_idle = self.settings.keepalive.mul_f64(REUSE_PART);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
         while let Some(place) =
-            entry.idle.iter().rposition(|link| link.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
+            entry.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
         {
-            let link = entry.idle.remove(place);
-            if link.is_reusable() && link.idle_since.elapsed() < longest {
-                self.counts.one(Count::Reused);
-                return Some(link);
+            let connection = entry.idle.remove(place);
+            if connection.is_reusable() && connection.idle_since.elapsed() < max_idle {
+                self.counts.increment(Count::Reused);
+                return Some(connection);
             }
-            self.counts.one(Count::IdleBroken);
+            self.counts.increment(Count::IdleBroken);
         }
         None
     }
 
-    fn keep(&self, server: ServerId, mut link: ServerConnection) {
+    /// Keeps a connection for the next attempt, unless its server restarted, moved, drains or has closed it.
+    fn keep_idle(&self, server: ServerId, mut connection: ServerConnection) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&server) else { return };
-        let wanted = !entry.draining && !entry.replaced;
-        if entry.epoch == link.epoch && wanted && !link.is_closed() {
-            link.idle_since = Instant::now();
-            entry.idle.push(link);
+        let is_usable = !entry.is_draining && !entry.is_replaced;
+        if entry.epoch == connection.epoch && is_usable && !connection.is_closed() {
+            connection.idle_since = Instant::now();
+            entry.idle.push(connection);
         }
     }
 
-    /// A place for one more socket, at the cost of an idle connection where all are taken.
-    pub async fn permit(&self) -> Option<SocketPermit> {
+    /// Acquires a permit to open a socket, closing idle connections to servers if the budget is used up.
+    /// `None` if there are no more of them to close.
+    pub async fn acquire_socket(&self) -> Option<SocketPermit> {
         loop {
-            if let Some(permit) = self.budget.try_acquire() {
+            if let Some(permit) = self.socket_budget.try_acquire() {
                 return Some(permit);
             }
-            if !self.evict() {
+            if !self.evict_idle() {
                 return None;
             }
-            // The socket closes when its task is next run.
+            // The closed connection gives back its permit when its task runs next.
             tokio::task::yield_now().await;
         }
     }
 
+    /// Opens a connection to a server.
     async fn dial(&self, addr: SocketAddr, epoch: u64) -> io::Result<ServerConnection> {
-        let Some(permit) = self.permit().await else {
-            self.counts.one(Count::NoSocket);
+        let Some(permit) = self.acquire_socket().await else {
+            self.counts.increment(Count::NoSocket);
             return Err(io::Error::other("no socket is free"));
         };
-        self.counts.one(Count::Dialled);
-        ServerConnection::dial(addr, epoch, permit).await.inspect_err(|_| self.counts.one(Count::DialRefused))
+        self.counts.increment(Count::Dialled);
+        ServerConnection::dial(addr, epoch, permit)
+            .await
+            .inspect_err(|_| self.counts.increment(Count::DialRefused))
     }
 
     // Attempts.
 
-    /// Sends a request and tells how it ended; unsent where it could not be written by `begin_by`. Dropped, it
-    /// closes its connection.
-    pub async fn attempt(
+    /// Sends a request to a server and waits for the response until the deadline. The request is not sent at all
+    /// if it could not be written by `send_by`. Dropping the future closes the attempt's connection.
+    pub async fn send_attempt(
         &self,
         server: ServerId,
-        call: &OutgoingRequest,
-        until: Instant,
-        begin_by: Instant,
+        request: &OutgoingRequest,
+        deadline: Instant,
+        send_by: Instant,
         acted_on: Option<&HeaderValue>,
-    ) -> Ended {
+    ) -> AttemptResult {
         loop {
             let Some((addr, epoch)) = self.address(server) else { return Outcome::ConnectFailed.into() };
-            let (mut link, reused) = match self.idle_link(server) {
-                Some(link) => (link, true),
+            let (mut connection, is_reused) = match self.take_idle_connection(server) {
+                Some(connection) => (connection, true),
                 None => {
-                    let connected = begin_by.min(Instant::now() + self.figures.dial_timeout);
-                    match timeout_at(connected, self.dial(addr, epoch)).await {
-                        Ok(Ok(link)) => (link, false),
+                    let dial_deadline = send_by.min(Instant::now() + self.settings.dial_timeout);
+                    match timeout_at(dial_deadline, self.dial(addr, epoch)).await {
+                        Ok(Ok(connection)) => (connection, false),
                         Ok(Err(_)) => return Outcome::ConnectFailed.into(),
-                        // It was not given its time: no word on the server.
-                        Err(_) if begin_by < until && Instant::now() >= begin_by => {
+                        // Cut short by `send_by`, which says nothing about the server.
+                        Err(_) if send_by < deadline && Instant::now() >= send_by => {
                             return Outcome::Moot.into();
                         }
                         Err(_) => {
-                            self.counts.one(Count::DialSilent);
+                            self.counts.increment(Count::DialSilent);
                             return Outcome::ConnectFailed.into();
                         }
                     }
                 }
             };
-            if !matches!(timeout_at(until, link.wait_until_ready()).await, Ok(Ok(()))) {
-                if reused {
+            if !matches!(timeout_at(deadline, connection.wait_until_ready()).await, Ok(Ok(()))) {
+                if is_reused {
                     continue;
                 }
                 return Outcome::ConnectFailed.into();
             }
-            // Its client may have gone meanwhile, or its time to begin may be over.
-            if call.is_finished.get() || (begin_by < until && Instant::now() >= begin_by) {
-                self.keep(server, link);
+            // Meanwhile the client may have left, or `send_by` may have passed.
+            if request.is_finished.get() || (send_by < deadline && Instant::now() >= send_by) {
+                self.keep_idle(server, connection);
                 return Outcome::Moot.into();
             }
             // The list may have changed meanwhile.
             match self.address(server) {
-                Some((_, now)) if now != link.epoch => continue,
-                Some(_) if Instant::now() < until => {}
+                Some((_, epoch)) if epoch != connection.epoch => continue,
+                Some(_) if Instant::now() < deadline => {}
                 _ => {
-                    self.keep(server, link);
+                    self.keep_idle(server, connection);
                     return Outcome::ConnectFailed.into();
                 }
             }
-            call.was_sent.set(true);
-            self.note_cold(server);
-            match timeout_at(until, link.send_request(build_request(call, addr, until, acted_on))).await {
-                // One that began to answer is there; only the answer is no good.
-                Err(_) if link.has_received_bytes() => return Outcome::Error.into(),
-                // A server that answered nothing may be gone: its idle connections would swallow
-                // what is sent next, where a new one would tell.
+            request.was_sent.set(true);
+            self.record_cold_send(server);
+            match timeout_at(
+                deadline,
+                connection.send_request(build_request(request, addr, deadline, acted_on)),
+            )
+            .await
+            {
+                // A server that began to respond is reachable; only its response is unusable.
+                Err(_) if connection.has_received_bytes() => return Outcome::Error.into(),
+                // The machine of a server that sent nothing may be gone. Requests on its other idle connections
+                // would get no answer either, while opening a new connection shows whether it is there.
                 Err(_) => {
                     self.close_idle(server);
                     return Outcome::Timeout.into();
                 }
-                Ok(ExchangeResult::Unsent) if reused => continue,
+                Ok(ExchangeResult::Unsent) if is_reused => continue,
                 Ok(ExchangeResult::Unsent) => return Outcome::ConnectFailed.into(),
-                Ok(ExchangeResult::Broken) if link.has_received_bytes() => return Outcome::Error.into(),
+                Ok(ExchangeResult::Broken) if connection.has_received_bytes() => {
+                    return Outcome::Error.into()
+                }
                 Ok(ExchangeResult::Broken) => return Outcome::Reset.into(),
                 Ok(ExchangeResult::Response { status, headers, body, allows_reuse }) => {
                     if allows_reuse {
-                        self.keep(server, link);
+                        self.keep_idle(server, connection);
                     }
-                    let load = parse_load_report(&headers, &self.figures.load_report_fields);
+                    let load_report = parse_load_report(&headers, &self.settings.load_report_fields);
                     let outcome = classify_response(status, &headers);
-                    let answer = (outcome == Outcome::Ok).then_some((headers, body));
-                    return Ended { outcome, load, answer };
+                    let response = (outcome == Outcome::Ok).then_some((headers, body));
+                    return AttemptResult { outcome, load_report, response };
                 }
             }
         }
     }
 
-    /// Notes a send to a server that may be cold, where that is asked for.
-    fn note_cold(&self, server: ServerId) {
-        if !self.cold.is_on() {
+    /// Records a send to a server that may be cold, if the log filter asks for such sends.
+    fn record_cold_send(&self, server: ServerId) {
+        if !self.cold_sends.is_enabled() {
             return;
         }
         let (names, entries) = (self.names.borrow(), self.entries.borrow());
         if let (Some(id), Some(entry)) = (names.get(&server.0), entries.get(&server)) {
-            self.cold.sent(&Start { id, since_ms: entry.since_ms, size: entry.size });
+            self.cold_sends.record(&ServerStart { id, since_ms: entry.since_ms, size: entry.size });
         }
     }
 
-    /// Writes what went to cold servers since the last time.
-    pub fn write_cold(&self) {
-        if self.cold.is_on() {
-            let ready = |entry: &&Entry| !entry.draining && !entry.replaced;
-            self.cold.write(self.entries.borrow().values().filter(ready).map(|entry| entry.size).sum());
+    /// Logs the sends to cold servers since the previous call.
+    pub fn log_cold_sends(&self) {
+        if self.cold_sends.is_enabled() {
+            let is_usable = |entry: &&ServerEntry| !entry.is_draining && !entry.is_replaced;
+            self.cold_sends
+                .log(self.entries.borrow().values().filter(is_usable).map(|entry| entry.size).sum());
         }
     }
 
-    /// Probes a server.
-    pub async fn probe(&self, server: ServerId) -> Ended {
+    /// Sends a probe to a server.
+    pub async fn send_probe(&self, server: ServerId) -> AttemptResult {
         let target = Uri::from_static("/-/healthy");
-        let call = OutgoingRequest::new(Method::GET, target, HeaderMap::new(), Bytes::new());
-        self.counts.one(Count::Probes);
-        // A probe waits like a request, but not like a patient one.
-        let until = Instant::now() + self.figures.dial_timeout * 2;
-        self.attempt(server, &call, until, until, None).await
+        let request = OutgoingRequest::new(Method::GET, target, HeaderMap::new(), Bytes::new());
+        self.counts.increment(Count::Probes);
+        // A probe may take as long as a usual request, but not as long as one with a late deadline.
+        let deadline = Instant::now() + self.settings.dial_timeout * 2;
+        self.send_attempt(server, &request, deadline, deadline, None).await
     }
 }
 
-/// How often `Servers::tidy` is due.
-pub const TIDY: Duration = Duration::from_millis(500);
-
 #[cfg(test)]
 mod tests;
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -4,8 +4,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use woodgap::list::ListEntry;
 
-fn servers(sockets: usize) -> Rc<Servers> {
-    let figures = NodeSettings {
+fn new_servers(sockets: usize) -> Rc<Servers> {
+    let settings = NodeSettings {
         dial_timeout: Duration::from_secs(20),
         keepalive: Duration::from_secs(600),
         drain_time: Duration::from_millis(500),
@@ -13,21 +13,21 @@
         load_report_fields: vec!["queue".into(), "util".into()],
         ramp: Default::default(),
     };
-    Servers::new(figures, SocketBudget::new(sockets))
+    Servers::new(settings, SocketBudget::new(sockets))
 }
 
-fn list(addr: SocketAddr, state: ServerState, complete: bool) -> ServerList {
+fn list_of_one(addr: SocketAddr, state: ServerState, complete: bool) -> ServerList {
     let (id, zone) = ("s-1".into(), "a".into());
     let entry = ListEntry { id, addr, zone, cell: 0, state, size: 1.0, up_since_ms: 0 };
     ServerList { revision: None, is_complete: complete, entries: vec![entry] }
 }
 
-fn call() -> OutgoingRequest {
+fn new_request() -> OutgoingRequest {
     OutgoingRequest::new(Method::POST, Uri::from_static("/api"), HeaderMap::new(), Bytes::new())
 }
 
-/// A server that answers each request with its name, and sends none if that is empty.
-async fn named(name: &'static str) -> SocketAddr {
+/// Starts a server that answers each request with its name, or never answers if the name is empty.
+async fn spawn_server(name: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -48,103 +48,127 @@
     addr
 }
 
-async fn attempt(servers: &Servers, server: ServerId, call: &OutgoingRequest, until: Instant) -> Ended {
-    servers.attempt(server, call, until, until, None).await
+async fn send_attempt(
+    servers: &Servers,
+    server: ServerId,
+    request: &OutgoingRequest,
+    deadline: Instant,
+) -> AttemptResult {
+    servers.send_attempt(server, request, deadline, deadline, None).await
 }
 
-fn soon() -> Instant {
+fn late_deadline() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
-// A server that left the list and came back elsewhere must not be served by a connection from
-// before, which leads to another process.
+// A server that left the list and came back at another address is another process: connections from before must
+// not be used for it.
 #[tokio::test]
-async fn connections_from_before_a_return_are_not_used() {
+async fn connection_from_before_a_server_returned_is_not_used() {
     let run = async {
-        let servers = servers(8);
-        let (old, new) = (named("old").await, named("new").await);
-        let (_, members) = servers.apply(&list(old, ServerState::InService, true));
+        let servers = new_servers(8);
+        let (old, new) = (spawn_server("old").await, spawn_server("new").await);
+        let (_, members) = servers.apply_list(&list_of_one(old, ServerState::InService, true));
         let server = members[0].server;
-        assert_eq!(attempt(&servers, server, &call(), soon()).await.answer.unwrap().1, "old");
+        assert_eq!(
+            send_attempt(&servers, server, &new_request(), late_deadline()).await.response.unwrap().1,
+            "old"
+        );
         tokio::time::sleep(MIN_IDLE_BEFORE_REUSE * 2).await;
-        let link = servers.idle_link(server).expect("kept");
-        servers.apply(&list(old, ServerState::Terminated, false));
-        assert_eq!(attempt(&servers, server, &call(), soon()).await.outcome, Outcome::ConnectFailed);
-        servers.apply(&list(new, ServerState::InService, false));
-        servers.keep(server, link);
-        assert_eq!(attempt(&servers, server, &call(), soon()).await.answer.unwrap().1, "new");
+        let connection = servers.take_idle_connection(server).expect("an idle connection");
+        servers.apply_list(&list_of_one(old, ServerState::Terminated, false));
+        assert_eq!(
+            send_attempt(&servers, server, &new_request(), late_deadline()).await.outcome,
+            Outcome::ConnectFailed
+        );
+        servers.apply_list(&list_of_one(new, ServerState::InService, false));
+        servers.keep_idle(server, connection);
+        assert_eq!(
+            send_attempt(&servers, server, &new_request(), late_deadline()).await.response.unwrap().1,
+            "new"
+        );
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A machine that vanished is silent on open connections: after a time-out the idle ones must go.
+// After the loss of a server's machine nothing answers on open connections. A time-out must close the idle ones, or
+// the next requests would run into the same time-out.
 #[tokio::test]
-async fn a_timeout_closes_idle_connections() {
+async fn timeout_closes_idle_connections() {
     let run = async {
-        let servers = servers(8);
-        let addr = named("").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
+        let servers = new_servers(8);
+        let addr = spawn_server("").await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
         let (_, epoch) = servers.address(server).unwrap();
         for _ in 0..2 {
-            let link = servers.dial(addr, epoch).await.unwrap();
-            servers.keep(server, link);
+            let connection = servers.dial(addr, epoch).await.unwrap();
+            servers.keep_idle(server, connection);
         }
-        let until = Instant::now() + Duration::from_millis(50);
-        assert_eq!(attempt(&servers, server, &call(), until).await.outcome, Outcome::Timeout);
-        assert!(servers.idle_link(server).is_none());
+        let deadline = Instant::now() + Duration::from_millis(50);
+        assert_eq!(send_attempt(&servers, server, &new_request(), deadline).await.outcome, Outcome::Timeout);
+        assert!(servers.take_idle_connection(server).is_none());
     };
     LocalSet::new().run_until(run).await;
 }
 
-// Rule 3: what waited for its connection must not be written once the server drains.
+// No request may be sent to a draining server, including one that was already assigned to it.
 #[tokio::test]
-async fn nothing_is_written_to_a_server_that_drains() {
+async fn nothing_is_written_to_a_draining_server() {
     let run = async {
-        let servers = servers(8);
-        let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        servers.apply(&list(addr, ServerState::Terminating, false));
-        let ended = attempt(&servers, server, &call(), soon()).await;
-        assert_eq!(ended.outcome, Outcome::ConnectFailed);
+        let servers = new_servers(8);
+        let addr = spawn_server("x").await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        servers.apply_list(&list_of_one(addr, ServerState::Terminating, false));
+        let result = send_attempt(&servers, server, &new_request(), late_deadline()).await;
+        assert_eq!(result.outcome, Outcome::ConnectFailed);
     };
     LocalSet::new().run_until(run).await;
 }
 
-// Sockets are spent on requests before idle connections.
+// Idle connections must not keep requests from getting a socket.
 #[tokio::test]
-async fn idle_connections_make_room() {
+async fn idle_connection_is_closed_when_a_socket_is_needed() {
     let run = async {
-        let servers = servers(1);
-        let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        assert_eq!(attempt(&servers, server, &call(), soon()).await.outcome, Outcome::Ok);
-        let permit = servers.permit().await;
+        let servers = new_servers(1);
+        let addr = spawn_server("x").await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        assert_eq!(
+            send_attempt(&servers, server, &new_request(), late_deadline()).await.outcome,
+            Outcome::Ok
+        );
+        let permit = servers.acquire_socket().await;
         assert!(permit.is_some());
-        assert_eq!(attempt(&servers, server, &call(), soon()).await.outcome, Outcome::ConnectFailed);
+        assert_eq!(
+            send_attempt(&servers, server, &new_request(), late_deadline()).await.outcome,
+            Outcome::ConnectFailed
+        );
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A machine that took over another's address must not get what is meant for the old one.
+// A server that has taken over the address of another one must not receive the other's requests.
 #[tokio::test]
-async fn nothing_is_written_to_a_server_whose_address_another_has() {
+async fn nothing_is_written_to_a_server_whose_address_was_taken_over() {
     let run = async {
-        let servers = servers(8);
-        let addr = named("x").await;
-        let old = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        assert_eq!(attempt(&servers, old, &call(), soon()).await.outcome, Outcome::Ok);
-        let mut change = list(addr, ServerState::InService, false);
+        let servers = new_servers(8);
+        let addr = spawn_server("x").await;
+        let old = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        assert_eq!(send_attempt(&servers, old, &new_request(), late_deadline()).await.outcome, Outcome::Ok);
+        let mut change = list_of_one(addr, ServerState::InService, false);
         change.entries[0].id = "s-2".into();
-        let new = servers.apply(&change).1[0].server;
-        assert!(servers.idle_link(old).is_none());
-        assert_eq!(attempt(&servers, old, &call(), soon()).await.outcome, Outcome::ConnectFailed);
-        assert_eq!(attempt(&servers, new, &call(), soon()).await.outcome, Outcome::Ok);
+        let new = servers.apply_list(&change).1[0].server;
+        assert!(servers.take_idle_connection(old).is_none());
+        assert_eq!(
+            send_attempt(&servers, old, &new_request(), late_deadline()).await.outcome,
+            Outcome::ConnectFailed
+        );
+        assert_eq!(send_attempt(&servers, new, &new_request(), late_deadline()).await.outcome, Outcome::Ok);
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// A server's address whose connections never come up: its backlog is full.
-async fn silent() -> (SocketAddr, Vec<tokio::net::TcpStream>, TcpListener) {
+/// Opens a listener and fills its backlog, so that further connections do not come up.
+async fn listen_with_full_backlog() -> (SocketAddr, Vec<tokio::net::TcpStream>, TcpListener) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -158,90 +182,93 @@
     (addr, queued, listener)
 }
 
-/// Makes room in the backlog, so that connections come up with the system's next try; ends once one brings bytes.
-fn listen(queued: Vec<tokio::net::TcpStream>, listener: TcpListener) -> tokio::task::JoinHandle<()> {
+/// Frees the backlog and accepts connections, which come up when the system repeats its SYN. The task ends once a
+/// connection brings bytes.
+fn accept_until_bytes(
+    queued: Vec<tokio::net::TcpStream>,
+    listener: TcpListener,
+) -> tokio::task::JoinHandle<()> {
     drop(queued);
     spawn_local(async move {
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut heard = Vec::new();
-            let _ = tokio::time::timeout(Duration::from_millis(50), stream.read_to_end(&mut heard)).await;
-            if !heard.is_empty() {
+            let mut received = Vec::new();
+            let _ = tokio::time::timeout(Duration::from_millis(50), stream.read_to_end(&mut received)).await;
+            if !received.is_empty() {
                 return;
             }
         }
     })
 }
 
-// A client that goes while its attempt's connection comes up late: the connection is kept, nothing is written.
+// When the client leaves while the attempt waits for its connection, nothing is written and the connection is kept.
 #[tokio::test]
-async fn nothing_is_written_for_a_client_that_left_while_the_connection_came_up() {
+async fn nothing_is_written_for_a_client_that_left_during_the_dial() {
     let run = async {
-        let servers = servers(8);
-        let (addr, queued, listener) = silent().await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        let call = Rc::new(call());
-        let waiting = spawn_local({
-            let (servers, call) = (servers.clone(), call.clone());
-            async move { attempt(&servers, server, &call, soon()).await.outcome }
+        let servers = new_servers(8);
+        let (addr, queued, listener) = listen_with_full_backlog().await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        let request = Rc::new(new_request());
+        let attempt = spawn_local({
+            let (servers, request) = (servers.clone(), request.clone());
+            async move { send_attempt(&servers, server, &request, late_deadline()).await.outcome }
         });
         tokio::task::yield_now().await;
-        call.is_finished.set(true);
-        let heard = listen(queued, listener);
-        assert_eq!(waiting.await.unwrap(), Outcome::Moot);
-        assert!(!call.was_sent.get());
+        request.is_finished.set(true);
+        let received_bytes = accept_until_bytes(queued, listener);
+        assert_eq!(attempt.await.unwrap(), Outcome::Moot);
+        assert!(!request.was_sent.get());
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert!(!heard.is_finished(), "something was written");
+        assert!(!received_bytes.is_finished(), "something was written");
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A keyed repeat whose window ends while its connection comes up: it does not go out, and that says nothing of
-// the server.
+// A keyed request must not be repeated after its window, which may end while the connection comes up. The outcome
+// must not count against the server.
 #[tokio::test]
-async fn nothing_is_written_once_the_time_to_begin_is_over() {
+async fn nothing_is_written_after_send_by() {
     let run = async {
-        let servers = servers(8);
-        let (addr, _queued, _listener) = silent().await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        let begin_by = Instant::now() + Duration::from_millis(30);
-        let call = call();
-        let ended = servers.attempt(server, &call, soon(), begin_by, None).await;
-        assert_eq!(ended.outcome, Outcome::Moot);
-        assert!(!call.was_sent.get());
-        // The same on a connection that is there.
-        let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-        let ended = servers.attempt(server, &call, soon(), Instant::now(), None).await;
-        assert_eq!((ended.outcome, call.was_sent.get()), (Outcome::Moot, false));
+        let servers = new_servers(8);
+        let (addr, _queued, _listener) = listen_with_full_backlog().await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        let send_by = Instant::now() + Duration::from_millis(30);
+        let request = new_request();
+        let result = servers.send_attempt(server, &request, late_deadline(), send_by, None).await;
+        assert_eq!(result.outcome, Outcome::Moot);
+        assert!(!request.was_sent.get());
+        // The same with a server that accepts the connection at once.
+        let addr = spawn_server("x").await;
+        let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+        let result = servers.send_attempt(server, &request, late_deadline(), Instant::now(), None).await;
+        assert_eq!((result.outcome, request.was_sent.get()), (Outcome::Moot, false));
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A change that ends sends to a server, be it a drain or a whole list without it, ends those too that wait for
-// their connection.
+// When a server drains or a complete list leaves it out, attempts that wait for a connection to it must end too.
 #[tokio::test]
-async fn what_waits_for_its_connection_goes_by_the_newest_list() {
+async fn attempt_that_waits_for_its_connection_follows_the_newest_list() {
     for change in ["drains", "is left out"] {
         let run = async {
-            let servers = servers(8);
-            let (addr, queued, listener) = silent().await;
-            let server = servers.apply(&list(addr, ServerState::InService, true)).1[0].server;
-            let call = Rc::new(call());
-            let waiting = spawn_local({
-                let (servers, call) = (servers.clone(), call.clone());
-                async move { attempt(&servers, server, &call, soon()).await.outcome }
+            let servers = new_servers(8);
+            let (addr, queued, listener) = listen_with_full_backlog().await;
+            let server = servers.apply_list(&list_of_one(addr, ServerState::InService, true)).1[0].server;
+            let request = Rc::new(new_request());
+            let attempt = spawn_local({
+                let (servers, request) = (servers.clone(), request.clone());
+                async move { send_attempt(&servers, server, &request, late_deadline()).await.outcome }
             });
             tokio::task::yield_now().await;
-            servers.apply(&match change {
-                "drains" => list(addr, ServerState::Terminating, false),
+            servers.apply_list(&match change {
+                "drains" => list_of_one(addr, ServerState::Terminating, false),
                 _ => ServerList { revision: None, is_complete: true, entries: Vec::new() },
             });
-            let heard = listen(queued, listener);
-            assert_eq!(waiting.await.unwrap(), Outcome::ConnectFailed);
-            assert!(!call.was_sent.get(), "{change}");
+            let received_bytes = accept_until_bytes(queued, listener);
+            assert_eq!(attempt.await.unwrap(), Outcome::ConnectFailed);
+            assert!(!request.was_sent.get(), "{change}");
             tokio::time::sleep(Duration::from_millis(50)).await;
-            assert!(!heard.is_finished(), "something was written: {change}");
+            assert!(!received_bytes.is_finished(), "something was written: {change}");
         };
         LocalSet::new().run_until(run).await;
     }
