--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,262 +1,263 @@
-//! What outcomes tell of a server: the share of its slots that it carries, ejections, classes it fails.
+//! Server health, judged by the outcomes of attempts: slot shares, ejections, and ejections for one class.
 
 use super::*;
 
-/// Answers slower than this multiple of their classes' norm make a server yield slots.
-const SLOW: f64 = 2.2;
-/// Shares: what a full answer leaves, what a sweep gives back, the least that is left.
-const FULL_YIELD: f64 = 0.6;
-/// A server that reports less than this part of its cores in use turns nobody away for want of room:
-/// its share yields only by this, while more than this part of what it gets comes back. See
-/// `Server::full_yield`.
-const IDLE: f64 = 0.7;
-const TURNED_YIELD: f64 = 0.95;
-const TURNED_MOST: f64 = 0.6;
-const REGAIN: f64 = 0.01;
-const LEAST_SHARE: f64 = 0.05;
-/// Share of a server just back from ejection.
-const BACK_SHARE: f64 = 0.3;
-/// A server is ejected when this part of its latest attempts failed, and this many times the
-/// fleet's usual part. Lower ejects sooner, and more often by chance.
-const FAILING: f64 = 0.4;
-const FAILING_MORE: f64 = 2.5;
-/// A server is passed by for a class when this smoothed part of its latest answers to it are errors or
-/// time-outs, two in a row, unless the class fails as much everywhere. Back from that, one error is enough.
-const SICK: f64 = 0.5;
-const SICK_STEP: f64 = 0.3;
-/// First ejection; each further one doubles it up to the longest.
-const EJECTION: Micros = 700_000;
-const EJECTION_LONGEST: Micros = 8_000_000;
-/// Silence of this multiple of the slowest class's mean answer time ejects, but never a shorter one.
-pub(super) const SILENCE: f64 = 4.0;
-pub(super) const SILENCE_LEAST: Micros = 300_000;
-/// With more than this part of the fleet ejected the cause is shared: ejections are ignored.
-pub(super) const PANIC: f64 = 0.5;
-/// A group up to `LARGE_GROUP` always keeps its idle connections, and any group closes them while more than
-/// this part of the attempts get no connection: servers accept a limited number.
-const LINKS_SHORT: f64 = 0.02;
+/// Slowness (answer time relative to the class means) above which a server's slot share is cut.
+const MAX_SLOWNESS: f64 = 2.2;
+/// Factor on the slot share of a server that answers `Full`.
+const FULL_SHARE_FACTOR: f64 = 0.6;
+/// A server that reports a lower utilization is idle: its `Full` answers do not mean that it lacks capacity.
+const IDLE_MAX_UTILIZATION: f64 = 0.7;
+/// Factor on an idle server's slot share while more than the given fraction of its answers are `Full`.
+const IDLE_FULL_SHARE_FACTOR: f64 = 0.95;
+const IDLE_MAX_FULL_SHARE: f64 = 0.6;
+/// Slot share that a server regains per sweep, and the smallest slot share.
+const SLOT_SHARE_REGAIN: f64 = 0.01;
+const MIN_SLOT_SHARE: f64 = 0.05;
+/// Slot share of a server that has just returned from an ejection.
+const REINSTATED_SLOT_SHARE: f64 = 0.3;
+/// A server is ejected when more than this fraction of its recent attempts failed, and more than this
+/// multiple of the fleet's fraction. Lower values eject sooner, and more often by chance.
+const EJECTION_FAILURE_SHARE: f64 = 0.4;
+const EJECTION_FAILURE_FACTOR: f64 = 2.5;
+/// A server is ejected for a class when this smoothed fraction of the class's answers are errors or timeouts
+/// (two in a row), unless the class fails as much everywhere. After such an ejection one error is enough.
+const CLASS_FAILURE_SHARE: f64 = 0.5;
+const CLASS_FAILURE_STEP: f64 = 0.3;
+/// Length of the first ejection; each further one is twice as long, up to the maximum.
+const EJECTION_MIN_US: Micros = 700_000;
+const EJECTION_MAX_US: Micros = 8_000_000;
+/// Silence that ejects a server, as a multiple of the slowest class's mean answer time, and its minimum.
+pub(super) const SILENCE_MULTIPLE: f64 = 4.0;
+pub(super) const SILENCE_MIN_US: Micros = 300_000;
+/// With more than this fraction of the fleet ejected the cause is a shared one, so ejections are ignored.
+pub(super) const PANIC_SHARE: f64 = 0.5;
+/// While more than this fraction of attempts get no connection, idle connections are closed, because servers
+/// accept a limited number. Otherwise a small group keeps them.
+const MAX_CONNECT_FAILURES: f64 = 0.02;
 
+/// What a node knows of a server.
 pub(super) struct Server {
     pub(super) member: Member,
-    /// On the list and in service.
-    pub(super) ready: bool,
-    pub(super) inflight: u32,
-    /// Since when an attempt is out without a word from the server.
-    pub(super) quiet_since: Micros,
-    /// Part of its slots that it carries, as far as its answers tell.
-    pub(super) share: f64,
-    /// Answer time against its classes' norms, smoothed, and the answers since it last yielded.
-    pub(super) ratio: f64,
-    pub(super) answers: u32,
-    /// Part of its latest attempts that ended in an error, a reset or a time-out.
-    pub(super) failing: f64,
+    pub(super) is_in_service: bool,
+    pub(super) in_flight: u32,
+    /// Start of the time in which attempts are in flight and the server has not answered.
+    pub(super) silent_since: Micros,
+    /// Fraction of its slots that the server gets, judged by its answers.
+    pub(super) slot_share: f64,
+    /// Answer time relative to the class means, smoothed; answers since the slot share was last cut for it.
+    pub(super) slowness: f64,
+    pub(super) answers_since_cut: u32,
+    /// Fraction of the recent attempts that ended in an error, a reset or a timeout.
+    pub(super) failure_share: f64,
     pub(super) ejections: u32,
-    /// While ejected: when it may be tried again, and since when it is out.
-    pub(super) ejected: Option<Micros>,
-    pub(super) out_since: Micros,
-    /// A trial or probe is out.
-    pub(super) trial: bool,
-    /// An attempt timed out without a word of it, and none came since.
-    pub(super) hung: bool,
-    /// While it is cold: attempts that this node may send it.
-    pub(super) budget: f64,
-    /// Part of its latest answers that turned a request away, and the part of its cores that it last
-    /// reported in use.
-    pub(super) turned: f64,
-    pub(super) util: Option<f64>,
-    /// How it does with each class: a bad release may fail one and serve the others.
-    pub(super) health: Vec<Health>,
+    /// While the server is ejected: when it may be tried again, and when it was ejected.
+    pub(super) ejected_until: Option<Micros>,
+    pub(super) ejected_at: Micros,
+    /// A trial request or a probe is in flight.
+    pub(super) is_on_trial: bool,
+    /// An attempt timed out while the server was silent, and the server has not answered since.
+    pub(super) is_hung: bool,
+    /// Attempts that this node may still send to the server while it is cold.
+    pub(super) cold_budget: f64,
+    /// Fraction of the recent answers that were `Full`; the utilization that the server last reported.
+    pub(super) full_share: f64,
+    pub(super) utilization: Option<f64>,
+    /// Health for each class: a faulty release may fail one class and serve the others.
+    pub(super) class_health: Vec<ClassHealth>,
 }
 
-/// How a server does with the requests of a class.
+/// A server's health for the requests of one class.
 #[derive(Clone, Default)]
-pub(super) struct Health {
-    /// Part of its latest attempts that ended in an error or, while it answered others, a time-out.
-    pub(super) failing: f64,
-    /// It gets none until then, and since when that is so.
-    pub(super) until: Micros,
-    pub(super) since: Micros,
-    pub(super) times: u32,
-    /// Not answered since then: one at a time may try.
-    pub(super) trial: bool,
-    /// Attempts that are out, and since when without an answer to this class.
-    pub(super) out: u32,
-    pub(super) quiet_since: Micros,
+pub(super) struct ClassHealth {
+    /// Fraction of recent attempts that ended in an error, or in a timeout while the server answered others.
+    pub(super) failure_share: f64,
+    /// End and start of the last ejection for this class.
+    pub(super) ejected_until: Micros,
+    pub(super) ejected_at: Micros,
+    pub(super) ejections: u32,
+    /// The class was not answered since its ejection: one attempt at a time may be sent.
+    pub(super) is_on_trial: bool,
+    /// Attempts in flight; start of the time in which none of this class was answered.
+    pub(super) in_flight: u32,
+    pub(super) silent_since: Micros,
 }
 
-impl Health {
-    pub(super) fn bars(&self, now: Micros) -> bool {
-        now < self.until || (self.trial && self.out > 0)
+impl ClassHealth {
+    pub(super) fn is_ejected(&self, now: Micros) -> bool {
+        now < self.ejected_until || (self.is_on_trial && self.in_flight > 0)
     }
 
-    pub(super) fn sent(&mut self, now: Micros) {
-        if self.out == 0 {
-            self.quiet_since = now;
+    pub(super) fn record_send(&mut self, now: Micros) {
+        if self.in_flight == 0 {
+            self.silent_since = now;
         }
-        self.out += 1;
+        self.in_flight += 1;
     }
 
-    /// Whether a time-out belongs to a silence that is known.
-    pub(super) fn closed(&mut self, now: Micros, sent: Micros, answer: bool, timed_out: bool) -> bool {
-        self.out = self.out.saturating_sub(1);
-        if answer {
-            self.quiet_since = now;
+    /// Returns whether the attempt timed out in a silence for which the class is already ejected.
+    pub(super) fn record_end(&mut self, now: Micros, sent: Micros, answered: bool, timed_out: bool) -> bool {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if answered {
+            self.silent_since = now;
         }
-        timed_out && self.times > 0 && sent < self.since
+        timed_out && self.ejections > 0 && sent < self.ejected_at
     }
 
-    /// Takes the class off the server for `span`.
-    pub(super) fn rest(&mut self, now: Micros, span: Micros) {
-        (self.since, self.until, self.trial) = (now, now + span, true);
-        self.times += 1;
-        self.failing = SICK_STEP;
+    pub(super) fn eject(&mut self, now: Micros, span: Micros) {
+        (self.ejected_at, self.ejected_until, self.is_on_trial) = (now, now + span, true);
+        self.ejections += 1;
+        self.failure_share = CLASS_FAILURE_STEP;
     }
 }
 
 impl Balancer {
-    /// What an outcome tells of its server.
-    pub(super) fn observe(&mut self, class: usize, closed: &AttemptEnd, out: &mut Vec<Action>) {
-        let Some(&i) = self.index.get(&closed.server) else { return };
-        let spent = closed.elapsed as f64;
-        let timed_out = closed.outcome == Outcome::Timeout;
-        let norm = &mut self.norms[class];
+    /// Updates the server's health and the load estimate from the end of an attempt.
+    pub(super) fn record_outcome(&mut self, class: usize, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let Some(&i) = self.server_index.get(&end.server) else { return };
+        let elapsed = end.elapsed as f64;
+        let timed_out = end.outcome == Outcome::Timeout;
+        let stats = &mut self.class_stats[class];
         let server = &mut self.servers[i];
-        self.inflight = self.inflight.saturating_sub(1);
-        server.inflight = server.inflight.saturating_sub(1);
-        // What was out when it was ejected tells nothing new: one event would count many times over.
-        let sent = self.now.saturating_sub(closed.elapsed);
-        let earlier = server.ejected.is_some() && sent < server.out_since;
-        server.trial &= earlier;
-        let answer = matches!(closed.outcome, Outcome::Ok | Outcome::Full | Outcome::Error);
-        let lost = server.health(class).closed(self.now, sent, answer, timed_out);
-        if answer {
-            server.quiet_since = self.now;
+        self.in_flight = self.in_flight.saturating_sub(1);
+        server.in_flight = server.in_flight.saturating_sub(1);
+        // An attempt sent before the ejection tells nothing new: one fault would be counted many times over.
+        let sent_at = self.now.saturating_sub(end.elapsed);
+        let is_stale = server.ejected_until.is_some() && sent_at < server.ejected_at;
+        server.is_on_trial &= is_stale;
+        let answered = matches!(end.outcome, Outcome::Ok | Outcome::Full | Outcome::Error);
+        let is_known_silence = server.health_for(class).record_end(self.now, sent_at, answered, timed_out);
+        if answered {
+            server.silent_since = self.now;
         }
-        // A server that holds requests of ours and makes no connection has no room for more. One full
-        // owner is a local matter: only where the next one is full too, the fleet may be.
-        let holds = server.inflight > 0;
-        let full = closed.outcome == Outcome::Full || (closed.outcome == Outcome::ConnectFailed && holds);
-        if full || closed.outcome == Outcome::Ok {
-            server.turned += 0.15 * (f64::from(u8::from(full)) - server.turned);
+        // A server that holds other attempts of this node and makes no connection is full. One full server is
+        // a local matter; if the next one is full too (`attempt > 0` below), the fleet may be.
+        let is_busy = server.in_flight > 0;
+        let is_full = end.outcome == Outcome::Full || (end.outcome == Outcome::ConnectFailed && is_busy);
+        if is_full || end.outcome == Outcome::Ok {
+            server.full_share += 0.15 * (f64::from(u8::from(is_full)) - server.full_share);
         }
-        let util = self.settings.utilization_index.and_then(|field| closed.load_report.get(field));
-        server.util = util.copied().or(server.util);
-        let answered = closed.outcome == Outcome::Ok;
-        let mut late = false;
-        // An attempt that timed out was at least as slow as that. Where no word of its server came after
-        // it and few servers are out, that one hangs: no sign of more work than the others can do. In a
-        // large group no server sends word that often: where one after the other hangs, all have too much.
-        let silent = server.quiet_since + closed.elapsed <= self.now;
-        let hung = timed_out && silent && self.load.ejected.max(self.load.silent) <= FEW_OUT;
-        if answered || (timed_out && !server.hung) {
-            self.load.silent += 0.03 * (f64::from(u8::from(timed_out && silent)) - self.load.silent);
+        let utilization = self.settings.utilization_index.and_then(|field| end.load_report.get(field));
+        server.utilization = utilization.copied().or(server.utilization);
+        let is_ok = end.outcome == Outcome::Ok;
+        let mut is_late = false;
+        // A timed-out attempt was at least as slow as its timeout. If its server was silent all that time and
+        // few servers are ejected, the server hangs: no sign that the fleet is overloaded. In a large group
+        // no server answers one node that often; if one server after the other hangs, all are overloaded.
+        let is_silent = server.silent_since + end.elapsed <= self.now;
+        let are_few_out = self.load.ejected_share.max(self.load.silent_share) <= FEW_EJECTED_SHARE;
+        let is_hung = timed_out && is_silent && are_few_out;
+        if is_ok || (timed_out && !server.is_hung) {
+            self.load.silent_share +=
+                0.03 * (f64::from(u8::from(timed_out && is_silent)) - self.load.silent_share);
         }
-        server.hung = (server.hung && !answer) || (timed_out && silent);
-        if answered || (timed_out && !lost) {
-            late = !hung && (timed_out || closed.elapsed > self.settings.classes[class].aim);
-            let sign = if hung { self.load.late } else { f64::from(u8::from(late)) };
-            self.load.late += 0.03 * (sign - self.load.late);
-            server.ratio += 0.15 * ((spent / norm.mean.max(1.0)).min(5.0) - server.ratio);
-            server.answers += 1;
+        server.is_hung = (server.is_hung && !answered) || (timed_out && is_silent);
+        if is_ok || (timed_out && !is_known_silence) {
+            is_late = !is_hung && (timed_out || end.elapsed > self.settings.classes[class].aim);
+            let sample = if is_hung { self.load.late_share } else { f64::from(u8::from(is_late)) };
+            self.load.late_share += 0.03 * (sample - self.load.late_share);
+            server.slowness += 0.15 * ((elapsed / stats.mean_us.max(1.0)).min(5.0) - server.slowness);
+            server.answers_since_cut += 1;
         }
-        if answered {
-            self.load.served += 1.0;
-            norm.mean += 0.02 * (spent - norm.mean);
+        if is_ok {
+            self.load.answers += 1.0;
+            stats.mean_us += 0.02 * (elapsed - stats.mean_us);
         }
-        let crowded = full && !server.turns_away_idle();
-        if full {
-            let yields = server.full_yield();
-            server.share = (server.share * yields).max(LEAST_SHARE);
+        let is_crowded = is_full && !server.rejects_while_idle();
+        if is_full {
+            let factor = server.full_share_factor();
+            server.slot_share = (server.slot_share * factor).max(MIN_SLOT_SHARE);
         }
-        if answered || full {
+        if is_ok || is_full {
             server.reinstate();
         }
-        // Every node comes to hold a connection to each server. Kept where a new one costs more.
-        let held = f64::from(self.settings.group_size) / 100.0 * self.settings.connection_deduction;
-        let many = self.settings.group_size > LARGE_GROUP && held >= self.settings.handshake_deduction;
-        let unlinked = f64::from(u8::from(closed.outcome == Outcome::ConnectFailed));
-        self.load.unlinked += 0.03 * (unlinked - self.load.unlinked);
-        if server.inflight == 0 && (many || self.load.unlinked > LINKS_SHORT) {
-            out.push(Action::CloseIdleConnections(closed.server));
+        // Each node comes to hold a connection to each server. They are kept if new ones cost more.
+        let kept_deduction = f64::from(self.settings.group_size) / 100.0 * self.settings.connection_deduction;
+        let closes_idle = self.is_large_group && kept_deduction >= self.settings.handshake_deduction;
+        let sample = f64::from(u8::from(end.outcome == Outcome::ConnectFailed));
+        self.load.connect_failure_share += 0.03 * (sample - self.load.connect_failure_share);
+        if server.in_flight == 0 && (closes_idle || self.load.connect_failure_share > MAX_CONNECT_FAILURES) {
+            actions.push(Action::CloseIdleConnections(end.server));
         }
-        // Errors, resets and time-outs are one kind of symptom. Where the whole fleet shows it, moving
-        // requests on helps nobody, so only what stands out is ejected. No connection to a server that
-        // holds nothing of ours is proof by itself; so is any failure of a trial.
-        let failed = matches!(closed.outcome, Outcome::Error | Outcome::Reset | Outcome::Timeout);
-        let error = closed.outcome == Outcome::Error;
-        let counts = error || answered || (timed_out && !silent);
-        let sick = lost || (counts && self.observe_class(i, class, !answered));
+        // Errors, resets and timeouts are one kind of symptom. If the whole fleet shows it, moving requests
+        // helps nobody, so only a server that stands out is ejected. A failed trial is proof by itself, and
+        // so is a failed connection to a server that holds no attempt of this node.
+        let is_failure = matches!(end.outcome, Outcome::Error | Outcome::Reset | Outcome::Timeout);
+        let is_error = end.outcome == Outcome::Error;
+        let is_sample = is_error || is_ok || (timed_out && !is_silent);
+        let is_class_failure = is_known_silence || (is_sample && self.record_for_class(i, class, !is_ok));
         let server = &mut self.servers[i];
-        // What one class suffers says nothing of the others.
-        if (failed || answered) && !sick {
-            let failed = f64::from(u8::from(failed));
-            server.failing += 0.15 * (failed - server.failing);
-            self.load.failing += 0.01 * (failed - self.load.failing);
+        // The failures of one class say nothing about the other classes.
+        if (is_failure || is_ok) && !is_class_failure {
+            let sample = f64::from(u8::from(is_failure));
+            server.failure_share += 0.15 * (sample - server.failure_share);
+            self.load.failure_share += 0.01 * (sample - self.load.failure_share);
         }
-        let dead = closed.outcome == Outcome::ConnectFailed && !full;
-        // In a large group a server's next answer to this node is seconds away. A sound server hardly ever
-        // says nothing until an attempt's time is up, a jammed one mostly does: one such silence is enough.
-        let mute = timed_out && silent && self.settings.group_size > LARGE_GROUP;
-        let stands_out = mute || server.failing > FAILING.max(FAILING_MORE * self.load.failing);
-        if !earlier && (dead || (failed && (stands_out || server.ejected.is_some()))) {
+        let is_unreachable = end.outcome == Outcome::ConnectFailed && !is_full;
+        // In a large group a server's next answer to this node is seconds away. A healthy server is hardly
+        // ever silent until an attempt times out, an overloaded one mostly is: one such timeout is enough.
+        let is_mute = timed_out && is_silent && self.is_large_group;
+        let max_failure_share = EJECTION_FAILURE_SHARE.max(EJECTION_FAILURE_FACTOR * self.load.failure_share);
+        let stands_out = is_mute || server.failure_share > max_failure_share;
+        if !is_stale && (is_unreachable || (is_failure && (stands_out || server.ejected_until.is_some()))) {
             self.eject(i);
         }
-        if (late && self.load.late > LATE_PART) || (crowded && closed.attempt > 0) {
-            self.hold_down();
+        if (is_late && self.load.late_share > OVERLOAD_LATE_SHARE) || (is_crowded && end.attempt > 0) {
+            self.cut_in_flight_limit();
         }
     }
 
-    /// Counts an answer for its class; whether the server is passed by for that class from now on.
-    fn observe_class(&mut self, i: usize, class: usize, error: bool) -> bool {
-        let norm = &mut self.norms[class];
-        let sign = f64::from(u8::from(error));
-        norm.failing += 0.02 * (sign - norm.failing);
-        let everywhere = norm.failing > PANIC;
-        let health = self.servers[i].health(class);
-        health.failing += SICK_STEP * (sign - health.failing);
-        if !error {
-            health.trial = false;
-            if health.failing < 0.05 {
-                health.times = 0;
+    /// Updates the server's health for a class; returns whether the class fails enough there for an ejection.
+    fn record_for_class(&mut self, i: usize, class: usize, is_error: bool) -> bool {
+        let stats = &mut self.class_stats[class];
+        let sample = f64::from(u8::from(is_error));
+        stats.failure_share += 0.02 * (sample - stats.failure_share);
+        let fails_everywhere = stats.failure_share > PANIC_SHARE;
+        let health = self.servers[i].health_for(class);
+        health.failure_share += CLASS_FAILURE_STEP * (sample - health.failure_share);
+        if !is_error {
+            health.is_on_trial = false;
+            if health.failure_share < 0.05 {
+                health.ejections = 0;
             }
         }
-        let sick = error && health.failing > SICK && !everywhere;
-        if sick && self.now >= health.until {
-            self.rest_class(i, class);
+        let should_eject = is_error && health.failure_share > CLASS_FAILURE_SHARE && !fails_everywhere;
+        if should_eject && self.now >= health.ejected_until {
+            self.eject_for_class(i, class);
         }
-        sick
+        should_eject
     }
 
-    /// Passes a server by for a class, longer each time.
-    pub(super) fn rest_class(&mut self, i: usize, class: usize) {
-        let span = (EJECTION << self.servers[i].health(class).times.min(6)).min(EJECTION_LONGEST);
-        let span = self.jitter(span);
-        self.servers[i].health(class).rest(self.now, span);
+    /// Ejects a server for a class, longer each time.
+    pub(super) fn eject_for_class(&mut self, i: usize, class: usize) {
+        let span = EJECTION_MIN_US << self.servers[i].health_for(class).ejections.min(6);
+        let span = self.jitter(span.min(EJECTION_MAX_US));
+        self.servers[i].health_for(class).eject(self.now, span);
     }
 
-    /// Takes a server out until a trial or probe succeeds.
+    /// Ejects a server until a trial request or a probe succeeds.
     pub(super) fn eject(&mut self, i: usize) {
-        // Where less time passes than to the node's next request for it, an ejection changes nothing.
-        let gap = match self.settings.group_size > LARGE_GROUP {
-            true => self.servers.len() as f64 * self.window / self.load.sends.max(1.0) * 1e6,
+        // An ejection that ends before this node's next request for the server would have no effect.
+        let request_gap = match self.is_large_group {
+            true => self.servers.len() as f64 * self.window_s / self.load.attempts.max(1.0) * 1e6,
             false => 0.0,
         } as Micros;
-        let span = EJECTION.max(gap) << self.servers[i].ejections.min(6);
-        let span = span.min(EJECTION_LONGEST.max(gap));
+        let span = EJECTION_MIN_US.max(request_gap) << self.servers[i].ejections.min(6);
+        let span = span.min(EJECTION_MAX_US.max(request_gap));
         let until = self.now + self.jitter(span);
         let server = &mut self.servers[i];
-        (server.ejected, server.trial, server.out_since) = (Some(until), false, self.now);
+        (server.ejected_until, server.is_on_trial, server.ejected_at) = (Some(until), false, self.now);
         server.ejections += 1;
     }
 
-    /// Whether probes try ejected servers. A jammed one answers them, so in a large group, where most
-    /// that are out are jammed, a request that may be repeated tries it.
-    pub(super) fn probes(&self) -> bool {
-        self.settings.can_probe && self.settings.group_size <= LARGE_GROUP
+    /// Whether probes try ejected servers. Overloaded servers answer probes, so in a large group, where most
+    /// ejected servers are overloaded, a request that may be repeated tries them instead.
+    pub(super) fn uses_probes(&self) -> bool {
+        self.settings.can_probe && !self.is_large_group
     }
 
     pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
-        match self.index.get(&id) {
+        match self.server_index.get(&id) {
             Some(&i) if outcome == Outcome::Ok => self.servers[i].reinstate(),
             Some(&i) => self.eject(i),
             None => {}
@@ -265,70 +266,69 @@
 }
 
 impl Server {
-    pub(super) fn new(member: Member, budget: f64) -> Self {
+    pub(super) fn new(member: Member, cold_budget: f64) -> Self {
         Server {
-            ready: member.state == ServerState::InService,
+            is_in_service: member.state == ServerState::InService,
             member,
-            inflight: 0,
-            quiet_since: 0,
-            share: 1.0,
-            ratio: 1.0,
-            answers: 0,
-            failing: 0.0,
+            in_flight: 0,
+            silent_since: 0,
+            slot_share: 1.0,
+            slowness: 1.0,
+            answers_since_cut: 0,
+            failure_share: 0.0,
             ejections: 0,
-            ejected: None,
-            out_since: 0,
-            trial: false,
-            hung: false,
-            budget,
-            turned: 0.0,
-            util: None,
-            health: Vec::new(),
+            ejected_until: None,
+            ejected_at: 0,
+            is_on_trial: false,
+            is_hung: false,
+            cold_budget,
+            full_share: 0.0,
+            utilization: None,
+            class_health: Vec::new(),
         }
     }
 
-    pub(super) fn health(&mut self, class: usize) -> &mut Health {
-        if self.health.len() <= class {
-            self.health.resize(class + 1, Health::default());
+    pub(super) fn health_for(&mut self, class: usize) -> &mut ClassHealth {
+        if self.class_health.len() <= class {
+            self.class_health.resize(class + 1, ClassHealth::default());
         }
-        &mut self.health[class]
+        &mut self.class_health[class]
     }
 
-    /// Whether what it turns away is not for want of room: it limits its rate, or its front does, or it
-    /// turns away by chance. That never ran and goes on to the next owner for the price of a round trip,
-    /// while slots that it yielded would crowd the others. Hurts where reports are wrong or old: a full
-    /// server is then asked again and again. Without reports, full is full.
-    fn turns_away_idle(&self) -> bool {
-        self.util.is_some_and(|util| util < IDLE)
+    /// Whether the server answers `Full` for another reason than lack of capacity: its rate limit, its front
+    /// end's, or chance. Such an attempt never ran and goes to the next owner for the price of a round trip,
+    /// while a smaller slot share would crowd the other servers. If reports are wrong or old, a really full
+    /// server is asked again and again. Without reports, `Full` means full.
+    fn rejects_while_idle(&self) -> bool {
+        self.utilization.is_some_and(|utilization| utilization < IDLE_MAX_UTILIZATION)
     }
 
-    /// What a full answer leaves of its share. One that turns most away with its cores idle yields a
-    /// little each time, down to about what it takes.
-    fn full_yield(&self) -> f64 {
-        match self.turns_away_idle() {
-            false => FULL_YIELD,
-            true if self.turned > TURNED_MOST => TURNED_YIELD,
+    /// Factor on the slot share after a `Full` answer: an idle server loses little, down to what it accepts.
+    fn full_share_factor(&self) -> f64 {
+        match self.rejects_while_idle() {
+            false => FULL_SHARE_FACTOR,
+            true if self.full_share > IDLE_MAX_FULL_SHARE => IDLE_FULL_SHARE_FACTOR,
             true => 1.0,
         }
     }
 
-    /// Back from ejection, with few slots at first.
+    /// Ends an ejection; the server starts with a small slot share.
     fn reinstate(&mut self) {
-        if self.ejected.take().is_some() {
-            self.share = BACK_SHARE;
-            self.trial = false;
-            self.failing = 0.0;
+        if self.ejected_until.take().is_some() {
+            self.slot_share = REINSTATED_SLOT_SHARE;
+            self.is_on_trial = false;
+            self.failure_share = 0.0;
         }
     }
 
-    /// Fast down, slow up: a server slower than its classes' norms carries fewer of its slots.
-    pub(super) fn correct_share(&mut self) {
-        if self.ratio > SLOW && self.answers >= 3 {
-            self.share = (self.share * SLOW / self.ratio).max(LEAST_SHARE);
-            self.answers = 0;
-        } else if self.ratio <= SLOW {
-            self.share = (self.share + REGAIN).min(1.0);
-            if self.share >= 1.0 {
+    /// Cuts the slot share of a slow server quickly and restores it slowly otherwise.
+    pub(super) fn adjust_slot_share(&mut self) {
+        if self.slowness > MAX_SLOWNESS && self.answers_since_cut >= 3 {
+            self.slot_share = (self.slot_share * MAX_SLOWNESS / self.slowness).max(MIN_SLOT_SHARE);
+            self.answers_since_cut = 0;
+        } else if self.slowness <= MAX_SLOWNESS {
+            self.slot_share = (self.slot_share + SLOT_SHARE_REGAIN).min(1.0);
+            if self.slot_share >= 1.0 {
                 self.ejections = 0;
             }
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,7 @@
-//! The policy. The interface (settings, events, actions) is `src/api.rs`.
+//! The policy: every decision of a node. Its interface (settings, events, actions) is `src/api.rs`.
 //!
-//! The ordinary path: a request's key picks a slot of the Maglev table, the slot's owner serves
-//! it. Every exception only ever makes a request walk on from its slot to the next owner that
-//! can carry it: see `Balancer::route`.
+//! A request's key selects a slot of the Maglev table, and the slot's owner serves the request. If that
+//! server cannot take it, the owner of a following slot does: see `Balancer::choose_server`.
 
 mod health;
 mod load;
@@ -19,93 +18,98 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::api::*;
-use health::{Server, PANIC, SILENCE, SILENCE_LEAST};
-use load::{LoadEstimate, Norm, FEW_OUT, LATE_PART};
-use request::Pending;
-use retry::{fate_of, Fate, RETRY_BURST, RETRY_RATIO};
-use route::{Hot, COLD_CARE, HOT_KEEP};
-use serial_queue::Turn;
+use health::{Server, PANIC_SHARE, SILENCE_MIN_US, SILENCE_MULTIPLE};
+use load::{ClassStats, LoadEstimate, FEW_EJECTED_SHARE, OVERLOAD_LATE_SHARE};
+use request::PendingRequest;
+use retry::{classify_outcome, Execution, RETRY_TOKENS_MAX, RETRY_TOKENS_PER_REQUEST};
+use route::{KeyCount, COLD_LOAD_CAP, TRAFFIC_COUNT_DECAY};
+use serial_queue::SerialQueue;
 pub use table::{build_table, TABLE_SLOTS};
-use table::{slot_level, KEY_SEED};
+use table::{slot_rank, KEY_SEED};
 
-/// How often the servers are looked over.
-const SWEEP: Micros = 100_000;
-/// In a group above this size a node alone sees little of what all do together.
-const LARGE_GROUP: u32 = 24;
+/// Interval of the sweep, the periodic pass over the servers.
+const SWEEP_PERIOD_US: Micros = 100_000;
+/// In a group of more nodes, a node alone sees little of what all nodes do together.
+const SMALL_GROUP_MAX_NODES: u32 = 24;
 
 const TIMER_SWEEP: TimerId = TimerId(1);
 const TIMER_SUBSCRIBE: TimerId = TimerId(2);
-/// The end of a key's rest: this and the key.
-const TIMER_REST: u64 = 16;
+/// The timer that ends a key's cooldown has this id plus the key.
+const TIMER_COOLDOWN_BASE: u64 = 16;
 
-/// The decisions of one node.
+/// The policy of one node.
 pub struct Balancer {
     settings: Settings,
+    is_large_group: bool,
     rng: Rng,
     now: Micros,
     servers: Vec<Server>,
-    index: HashMap<ServerId, usize>,
+    server_index: HashMap<ServerId, usize>,
+    /// Owner of each slot, as a position in `servers`.
     table: Vec<u32>,
-    stale_table: bool,
-    size_total: f64,
-    inflight: u32,
-    requests: HashMap<RequestId, Pending>,
-    turns: BTreeMap<Key, Turn>,
-    norms: Vec<Norm>,
-    tenant_rates: Vec<f64>,
-    hot: Vec<Hot>,
-    /// How many seconds the fading counts hold.
-    window: f64,
-    retries: f64,
+    is_table_stale: bool,
+    total_size: f64,
+    in_flight: u32,
+    requests: HashMap<RequestId, PendingRequest>,
+    serial_queues: BTreeMap<Key, SerialQueue>,
+    class_stats: Vec<ClassStats>,
+    tenant_counts: Vec<f64>,
+    key_counts: Vec<KeyCount>,
+    /// Seconds of traffic that the decaying counts hold.
+    window_s: f64,
+    retry_tokens: f64,
     load: LoadEstimate,
-    subscribed: bool,
-    refusals: u32,
+    is_subscribed: bool,
+    failed_syncs: u32,
 }
 
 impl Balancer {
-    /// A node at its start. `seed` feeds its random choices and nothing that nodes agree on.
+    /// Creates a node's policy. `seed` feeds random choices only, nothing that nodes must agree on.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let norm = |c: &Class| Norm { mean: c.aim as f64 / 4.0, rates: [0.0; 2], failing: 0.0 };
+        let stats = |class: &Class| ClassStats { mean_us: class.aim as f64 / 4.0, ..ClassStats::default() };
         Balancer {
-            tenant_rates: vec![0.0; settings.tenants.len()],
+            is_large_group: settings.group_size > SMALL_GROUP_MAX_NODES,
+            tenant_counts: vec![0.0; settings.tenants.len()],
             rng: Rng::with_seed(seed),
             now: 0,
             servers: Vec::new(),
-            index: HashMap::new(),
+            server_index: HashMap::new(),
             table: Vec::new(),
-            stale_table: false,
-            size_total: 0.0,
-            inflight: 0,
+            is_table_stale: false,
+            total_size: 0.0,
+            in_flight: 0,
             requests: HashMap::new(),
-            turns: BTreeMap::new(),
-            norms: settings.classes.iter().map(norm).collect(),
-            hot: Vec::new(),
-            window: 1.0,
-            retries: RETRY_BURST,
-            load: LoadEstimate { limit: f64::INFINITY, ..LoadEstimate::default() },
-            subscribed: false,
-            refusals: 0,
+            serial_queues: BTreeMap::new(),
+            class_stats: settings.classes.iter().map(stats).collect(),
+            key_counts: Vec::new(),
+            window_s: 1.0,
+            retry_tokens: RETRY_TOKENS_MAX,
+            load: LoadEstimate { in_flight_limit: f64::INFINITY, ..LoadEstimate::default() },
+            is_subscribed: false,
+            failed_syncs: 0,
             settings,
         }
     }
 
-    /// Takes one event and appends what to do to `out`.
-    pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    /// Handles one event and appends the actions that follow from it to `actions`.
+    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Sync { kind, members } => self.on_sync(kind, members, out),
-            Event::Request(request) => self.on_request(request, out),
-            Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt, out),
-            Event::RequestEnded(id) => self.end(id, out),
+            Event::Sync { kind, members } => self.on_sync(kind, members, actions),
+            Event::Request(request) => self.on_request(request, actions),
+            Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt, actions),
+            Event::RequestEnded(id) => self.end_request(id, actions),
             Event::ProbeEnded { server, outcome, .. } => self.on_probed(server, outcome),
-            Event::TimerExpired(TIMER_SWEEP) => self.sweep(out),
-            Event::TimerExpired(TimerId(n)) if n >= TIMER_REST => self.give_turn(Key(n - TIMER_REST), out),
-            Event::TimerExpired(TIMER_SUBSCRIBE) if !self.subscribed => out.push(Action::Subscribe),
+            Event::TimerExpired(TIMER_SWEEP) => self.sweep(actions),
+            Event::TimerExpired(TimerId(n)) if n >= TIMER_COOLDOWN_BASE => {
+                self.advance_serial_queue(Key(n - TIMER_COOLDOWN_BASE), actions)
+            }
+            Event::TimerExpired(TIMER_SUBSCRIBE) if !self.is_subscribed => actions.push(Action::Subscribe),
             Event::TimerExpired(_) | Event::ResponseStarted { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    /// Half to one and a half times the span, so that nodes do not act in step.
+    /// Draws half to one and a half times the span, so that nodes do not act in step.
     fn jitter(&mut self, span: Micros) -> Micros {
         span / 2 + self.rng.u64(0..=span)
     }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,163 +1,162 @@
-//! A request's life: taken, sent, answered. Each one gets one final answer, and nothing goes out after it.
+//! A request from its arrival to its single final answer. No attempt is sent after that answer.
 
 use super::*;
 
-/// When a refused client ought to come back. Longer eases an overload and costs those who would have
-/// been served sooner.
-const COME_BACK: Micros = 20_000;
+/// How long refused clients wait. Longer eases an overload and costs those who could be served sooner.
+const BACKOFF_US: Micros = 20_000;
 
 pub(super) struct Attempt {
     pub(super) member: Member,
-    pub(super) sent: Micros,
-    pub(super) fate: Fate,
+    pub(super) sent_at: Micros,
+    pub(super) execution: Execution,
 }
 
-pub(super) struct Pending {
+pub(super) struct PendingRequest {
     pub(super) class: usize,
     pub(super) slot: usize,
     pub(super) key: Option<Key>,
-    /// The key whose turn it needs, for a class that is in order.
-    pub(super) ordered: Option<Key>,
-    /// An answer is worth its full worth until then.
-    pub(super) aim: Micros,
+    /// The key of a request whose class is serial by key.
+    pub(super) serial_key: Option<Key>,
+    /// An answer earns its full worth until then.
+    pub(super) aim_until: Micros,
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<Attempt>,
-    pub(super) ended: bool,
+    pub(super) is_ended: bool,
 }
 
 impl Balancer {
-    pub(super) fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
+    pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
             return;
         }
         if request.class.0 >= self.settings.classes.len() {
-            return out.push(Action::Refuse { id, retry_after: 0 });
+            return actions.push(Action::Refuse { id, retry_after: 0 });
         }
-        self.load.taken += 1.0;
+        self.load.requests += 1.0;
         if let Some(key) = request.key {
             self.count_key(key);
         }
-        self.retries = (self.retries + RETRY_RATIO).min(RETRY_BURST);
-        let slot = self.slot_of(request.key);
-        let over = self.over_share(request.tenant, request.is_client_retry, slot);
-        self.norms[request.class.0].rates[usize::from(over)] += 1.0;
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(RETRY_TOKENS_MAX);
+        let slot = self.choose_slot(request.key);
+        let is_over_quota = self.count_for_quota(request.tenant, request.is_client_retry, slot);
+        self.class_stats[request.class.0].requests[usize::from(is_over_quota)] += 1.0;
         let class = &self.settings.classes[request.class.0];
-        let ordered = request.key.filter(|_| class.is_serial_by_key);
-        // Where a late answer earns nothing, waiting for it only fills a server's queue.
-        let useful = if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / 32 };
-        let pending = Pending {
+        let serial_key = request.key.filter(|_| class.is_serial_by_key);
+        // If a late answer earns nothing, waiting for it only fills a server's queue.
+        let max_wait = if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / 32 };
+        let pending = PendingRequest {
             class: request.class.0,
             slot,
             key: request.key,
-            ordered,
-            aim: self.now + class.aim.min(request.time_left),
-            deadline: self.now + request.time_left.min(useful),
+            serial_key,
+            aim_until: self.now + class.aim.min(request.time_left),
+            deadline: self.now + request.time_left.min(max_wait),
             attempts: Vec::new(),
-            ended: false,
+            is_ended: false,
         };
         self.requests.insert(id, pending);
-        if let Some(key) = ordered {
-            self.turns.entry(key).or_default().queue.push_back(id);
+        if let Some(key) = serial_key {
+            self.serial_queues.entry(key).or_default().requests.push_back(id);
         }
-        if self.beyond_capacity(slot) || self.shed_now(request.class.0, slot, over) {
-            self.conclude(id, out);
+        if self.exceeds_listed_capacity(slot) || self.should_shed(request.class.0, slot, is_over_quota) {
+            self.reject(id, actions);
         } else {
-            self.send_or_conclude(id, out);
+            self.send_or_reject(id, actions);
         }
     }
 
-    /// Another attempt for a request that has none out, or its final answer.
-    pub(super) fn send_or_conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        match self.wait_for_turn(id) {
-            Some(wait) if self.worth_holding(&self.requests[&id], wait) => return,
-            Some(_) => return self.conclude(id, out),
+    /// Sends an attempt, lets the request wait for its serial key, or gives the final answer.
+    pub(super) fn send_or_reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        match self.serial_wait(id) {
+            Some(wait) if self.is_worth_waiting(&self.requests[&id], wait) => return,
+            Some(_) => return self.reject(id, actions),
             None => {}
         }
-        let target = if self.may_send(&self.requests[&id]) { self.route(id) } else { None };
-        let Some(target) = target else { return self.conclude(id, out) };
+        let target = if self.may_send(&self.requests[&id]) { self.choose_server(id) } else { None };
+        let Some(target) = target else { return self.reject(id, actions) };
         let now = self.now;
         let timeout = self.attempt_timeout(&self.requests[&id]);
-        let send_within = self.window(&self.requests[&id]).map(|end| end - now);
+        let send_within = self.dedup_window_end(&self.requests[&id]).map(|end| end - now);
         let server = &mut self.servers[target];
-        if server.inflight == 0 {
-            server.quiet_since = now;
+        if server.in_flight == 0 {
+            server.silent_since = now;
         }
-        server.trial |= server.ejected.is_some();
-        server.budget -= 1.0;
-        server.inflight += 1;
-        server.health(self.requests[&id].class).sent(now);
-        self.inflight += 1;
-        self.load.sends += 1.0;
+        server.is_on_trial |= server.ejected_until.is_some();
+        server.cold_budget -= 1.0;
+        server.in_flight += 1;
+        server.health_for(self.requests[&id].class).record_send(now);
+        self.in_flight += 1;
+        self.load.attempts += 1.0;
         let member = server.member.clone();
-        out.push(Action::Send { id, server: member.server, timeout, send_within });
+        actions.push(Action::Send { id, server: member.server, timeout, send_within });
         let pending = self.requests.get_mut(&id).expect("held");
-        pending.attempts.push(Attempt { member, sent: now, fate: Fate::Out });
+        pending.attempts.push(Attempt { member, sent_at: now, execution: Execution::InFlight });
     }
 
-    /// The final answer when nothing more is tried: a refusal where it is lawful.
-    fn conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Gives the final answer without a further attempt: a refusal if that is safe, else a failure.
+    fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.may_refuse(&self.requests[&id]) {
-            // Whom a refusal sends away comes back at once where nobody says when, and to no better place.
-            // Where a late answer earns nothing, a repeat comes too late to be worth anything.
+            // Clients not told to wait come back at once, to no better place. Where a late answer earns
+            // nothing, a retry comes too late to be worth anything: the wait then is the whole deadline.
             let class = &self.settings.classes[self.requests[&id].class];
-            let gone = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
-            let advice = if gone { class.deadline } else { COME_BACK.min(self.settings.max_retry_after) };
-            let retry_after = if self.settings.sends_retry_after { advice } else { 0 };
-            out.push(Action::Refuse { id, retry_after });
+            let is_moot = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
+            let wait = if is_moot { class.deadline } else { BACKOFF_US.min(self.settings.max_retry_after) };
+            let retry_after = if self.settings.sends_retry_after { wait } else { 0 };
+            actions.push(Action::Refuse { id, retry_after });
         } else {
-            out.push(Action::Fail { id });
+            actions.push(Action::Fail { id });
         }
-        self.end(id, out);
+        self.end_request(id, actions);
     }
 
-    /// The request has ended: nothing goes out for it any more, and what is out is withdrawn.
-    pub(super) fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    /// Ends a request: no further attempt is sent, and those in flight are cancelled.
+    pub(super) fn end_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let still_out = pending.attempts.iter().enumerate().filter(|(_, a)| a.fate == Fate::Out);
-        let still_out: Vec<u32> = still_out.map(|(n, _)| n as u32).collect();
-        if self.settings.can_cancel && !pending.ended {
-            out.extend(still_out.iter().map(|&attempt| Action::Cancel { id, attempt }));
+        let open = pending.attempts.iter().enumerate().filter(|(_, a)| a.execution == Execution::InFlight);
+        let open: Vec<u32> = open.map(|(n, _)| n as u32).collect();
+        if self.settings.can_cancel && !pending.is_ended {
+            actions.extend(open.iter().map(|&attempt| Action::Cancel { id, attempt }));
         }
-        pending.ended = true;
-        let ordered = pending.ordered;
-        if still_out.is_empty() {
+        pending.is_ended = true;
+        let serial_key = pending.serial_key;
+        if open.is_empty() {
             self.requests.remove(&id);
-            if let Some(turn) = ordered.and_then(|key| self.turns.get_mut(&key)) {
-                turn.queue.retain(|&queued| queued != id);
+            if let Some(queue) = serial_key.and_then(|key| self.serial_queues.get_mut(&key)) {
+                queue.requests.retain(|&queued| queued != id);
             }
-            ordered.into_iter().for_each(|key| self.give_turn(key, out));
+            serial_key.into_iter().for_each(|key| self.advance_serial_queue(key, actions));
         }
     }
 
-    pub(super) fn on_attempt_ended(&mut self, closed: AttemptEnd, out: &mut Vec<Action>) {
-        let AttemptEnd { id, server, outcome, .. } = closed;
+    pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
+        let AttemptEnd { id, server, outcome, .. } = end;
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = pending.attempts.get_mut(closed.attempt as usize) else { return };
-        if attempt.fate != Fate::Out || attempt.member.server != server {
+        let Some(attempt) = pending.attempts.get_mut(end.attempt as usize) else { return };
+        if attempt.execution != Execution::InFlight || attempt.member.server != server {
             return;
         }
-        attempt.fate = fate_of(outcome, self.settings.full_may_have_run);
-        let (class, ended) = (pending.class, pending.ended);
-        let out_still = pending.attempts.iter().any(|a| a.fate == Fate::Out);
-        let doubt = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-        if let Some(key) = pending.ordered.filter(|_| doubt) {
+        attempt.execution = classify_outcome(outcome, self.settings.full_may_have_run);
+        let (class, is_ended) = (pending.class, pending.is_ended);
+        let has_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
+        let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        if let Some(key) = pending.serial_key.filter(|_| may_still_run) {
             let delay = self.settings.serial_key_cooldown;
-            self.turns.entry(key).or_default().rests_until = self.now + delay;
-            out.push(Action::SetTimer { delay, timer: TimerId(TIMER_REST.wrapping_add(key.0)) });
+            self.serial_queues.entry(key).or_default().cooldown_until = self.now + delay;
+            actions.push(Action::SetTimer { delay, timer: TimerId(TIMER_COOLDOWN_BASE.wrapping_add(key.0)) });
         }
-        self.observe(class, &closed, out);
-        if ended || closed.is_request_done || outcome == Outcome::Ok {
-            self.end(id, out);
-        } else if !out_still {
-            // Resends of what may have run or was turned away as full feed a jam: there is a budget.
-            let free = outcome == Outcome::ConnectFailed;
-            let paid = free || self.retries >= 1.0;
-            self.retries -= f64::from(u8::from(paid && !free));
-            if paid && outcome != Outcome::Moot {
-                self.send_or_conclude(id, out);
+        self.record_outcome(class, &end, actions);
+        if is_ended || end.is_request_done || outcome == Outcome::Ok {
+            self.end_request(id, actions);
+        } else if !has_in_flight {
+            // Resending what may have run or found a server full feeds an overload, so there is a budget.
+            let is_free = outcome == Outcome::ConnectFailed;
+            let is_allowed = is_free || self.retry_tokens >= 1.0;
+            self.retry_tokens -= f64::from(u8::from(is_allowed && !is_free));
+            if is_allowed && outcome != Outcome::Moot {
+                self.send_or_reject(id, actions);
             } else {
-                self.conclude(id, out);
+                self.reject(id, actions);
             }
         }
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,95 +1,92 @@
-//! The one place where it is decided whether a resend or a refusal is lawful.
+//! Decides whether a resend or a refusal is safe; no other file does.
 
 use super::*;
 
-/// Part of the requests that may be sent again after they may have run, and the burst of it.
-pub(super) const RETRY_RATIO: f64 = 0.2;
-pub(super) const RETRY_BURST: f64 = 20.0;
-/// An attempt is late past this multiple of its class's norm. Sooner repeats more work: heavy requests
-/// are heavy again on the next server, and a time-out need not stop the first one.
-const LATE: f64 = 8.0;
+/// Retry budget: tokens added per request, and the maximum. A resend costs one, unless no connection was
+/// made.
+pub(super) const RETRY_TOKENS_PER_REQUEST: f64 = 0.2;
+pub(super) const RETRY_TOKENS_MAX: f64 = 20.0;
+/// An attempt times out at this multiple of its class's mean answer time. An earlier timeout repeats more
+/// work: a heavy request is heavy again on the next server, and a timeout need not stop the first attempt.
+const EARLY_TIMEOUT_MULTIPLE: f64 = 8.0;
 
-/// What became of an attempt.
+/// Whether an attempt ran.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Fate {
-    Out,
+pub(super) enum Execution {
+    InFlight,
     NeverRan,
     MayHaveRun,
 }
 
-/// What an outcome proves: the one place that resends and refusals go by.
-pub(super) fn fate_of(outcome: Outcome, full_may_have_run: bool) -> Fate {
+/// Derives from an attempt's outcome whether it ran. Resends and refusals go by this alone.
+pub(super) fn classify_outcome(outcome: Outcome, full_may_have_run: bool) -> Execution {
     match outcome {
-        Outcome::ConnectFailed | Outcome::Moot => Fate::NeverRan,
-        Outcome::Full if !full_may_have_run => Fate::NeverRan,
-        _ => Fate::MayHaveRun,
+        Outcome::ConnectFailed | Outcome::Moot => Execution::NeverRan,
+        Outcome::Full if !full_may_have_run => Execution::NeverRan,
+        _ => Execution::MayHaveRun,
     }
 }
 
 impl Balancer {
-    /// Whether a server drops the repeats of a keyed request that may have run.
-    pub(super) fn in_group(&self, pending: &Pending, member: &Member) -> bool {
-        let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan);
+    /// Whether a server may get the next attempt: once a request may have run, one that drops its repeats.
+    pub(super) fn is_in_dedup_scope(&self, pending: &PendingRequest, next: &Member) -> bool {
+        let first = pending.attempts.iter().find(|a| a.execution != Execution::NeverRan);
         match (self.settings.classes[pending.class].semantics, first) {
-            (Semantics::Deduplicated { scope: DedupScope::Zone, .. }, Some(a)) => {
-                a.member.zone == member.zone
-            }
-            (Semantics::Deduplicated { scope: DedupScope::Cell, .. }, Some(a)) => {
-                a.member.cell == member.cell
-            }
+            (Semantics::Deduplicated { scope: DedupScope::Zone, .. }, Some(a)) => a.member.zone == next.zone,
+            (Semantics::Deduplicated { scope: DedupScope::Cell, .. }, Some(a)) => a.member.cell == next.cell,
             _ => true,
         }
     }
 
-    pub(super) fn may_send(&self, pending: &Pending) -> bool {
-        let out = pending.attempts.iter().any(|a| a.fate == Fate::Out);
+    pub(super) fn may_send(&self, pending: &PendingRequest) -> bool {
+        let is_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
         if self.now >= pending.deadline
             || pending.attempts.len() >= self.settings.max_attempts as usize
-            || (out && !self.settings.allows_concurrent_attempts)
+            || (is_in_flight && !self.settings.allows_concurrent_attempts)
         {
             return false;
         }
-        let ran = pending.attempts.iter().any(|a| a.fate != Fate::NeverRan);
+        let may_have_run = pending.attempts.iter().any(|a| a.execution != Execution::NeverRan);
         match self.settings.classes[pending.class].semantics {
             Semantics::Safe => true,
-            Semantics::Unsafe => !ran,
-            Semantics::Deduplicated { .. } => self.window(pending).is_none_or(|end| self.now < end),
+            Semantics::Unsafe => !may_have_run,
+            Semantics::Deduplicated { .. } => self.dedup_window_end(pending).is_none_or(|end| self.now < end),
         }
     }
 
-    /// When repeats of a keyed request that may have run have to be on their way, less a margin for that way.
-    pub(super) fn window(&self, pending: &Pending) -> Option<Micros> {
+    /// Latest time at which a repeat of a request that may have run is dropped, less a margin for its way.
+    pub(super) fn dedup_window_end(&self, pending: &PendingRequest) -> Option<Micros> {
         let Semantics::Deduplicated { ttl, .. } = self.settings.classes[pending.class].semantics else {
             return None;
         };
-        let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan)?;
-        Some(first.sent + ttl - ttl / 10)
+        let first = pending.attempts.iter().find(|a| a.execution != Execution::NeverRan)?;
+        Some(first.sent_at + ttl - ttl / 10)
     }
 
-    pub(super) fn may_refuse(&self, pending: &Pending) -> bool {
+    pub(super) fn may_refuse(&self, pending: &PendingRequest) -> bool {
         match self.settings.classes[pending.class].semantics {
             Semantics::Safe | Semantics::Deduplicated { scope: DedupScope::All, .. } => true,
-            _ => pending.attempts.iter().all(|a| a.fate == Fate::NeverRan),
+            _ => pending.attempts.iter().all(|a| a.execution == Execution::NeverRan),
         }
     }
 
-    /// Time-out of the next attempt: what is left, less where a further one could follow.
-    pub(super) fn attempt_timeout(&self, pending: &Pending) -> Micros {
+    /// Timeout of the next attempt: the time left, or less if another attempt could follow.
+    pub(super) fn attempt_timeout(&self, pending: &PendingRequest) -> Micros {
         let left = pending.deadline.saturating_sub(self.now).max(1);
-        let last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
+        let is_last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
         // Resends inside a small cell would crowd the neighbours of a slow server.
         let semantics = self.settings.classes[pending.class].semantics;
-        let narrow =
+        let is_scope_narrow =
             matches!(semantics, Semantics::Unsafe | Semantics::Deduplicated { scope: DedupScope::Cell, .. });
-        if last || narrow {
+        if is_last || is_scope_narrow {
             return left;
         }
-        let late = (LATE * self.norms[pending.class].mean) as Micros;
-        // A second attempt without time to be answered only wastes work.
-        if late * 2 > left {
+        let early = (EARLY_TIMEOUT_MULTIPLE * self.class_stats[pending.class].mean_us) as Micros;
+        // A second attempt without time for its answer only wastes work.
+        if early * 2 > left {
             left
         } else {
-            late.max(1)
+            early.max(1)
         }
     }
 }
--- a/src/policy/serial_queue.rs
+++ b/src/policy/serial_queue.rs
@@ -1,50 +1,49 @@
-//! Order. Guards against two requests of an in-order key running together or out of turn. A
-//! key's turn is held until nothing of the request is out, so a silent server holds up its keys:
-//! what waits is refused while its client can still be served elsewhere.
+//! Serial classes: their requests that share a key run one at a time and in order. A request holds its key
+//! until none of its attempts is in flight, so a silent server blocks its keys: waiting requests are refused
+//! while their clients can still be served elsewhere.
 
 use super::*;
 
-/// The requests of an in-order key that are not over, as they were taken: the first has the turn.
+/// The unfinished requests of a key in the order of their arrival. Only the first may be sent.
 #[derive(Default)]
-pub(super) struct Turn {
-    pub(super) queue: VecDeque<RequestId>,
-    /// What may still be running of an earlier request is given until then.
-    pub(super) rests_until: Micros,
+pub(super) struct SerialQueue {
+    pub(super) requests: VecDeque<RequestId>,
+    /// Until then an attempt of an earlier request may still be running.
+    pub(super) cooldown_until: Micros,
 }
 
 impl Balancer {
-    /// For a request that may not be sent yet: about how long, `None` for one that has the turn.
-    pub(super) fn wait_for_turn(&self, id: RequestId) -> Option<Micros> {
+    /// About how long a request must wait before it may be sent; `None` if it may be sent now.
+    pub(super) fn serial_wait(&self, id: RequestId) -> Option<Micros> {
         let pending = &self.requests[&id];
-        let turn = self.turns.get(&pending.ordered?)?;
-        let place = turn.queue.iter().position(|&queued| queued == id)?;
-        let rest = turn.rests_until.saturating_sub(self.now);
-        let free = place == 0 && (rest == 0 || !pending.attempts.is_empty());
-        (!free).then(|| rest + place as u64 * self.norms[pending.class].mean as Micros)
+        let queue = self.serial_queues.get(&pending.serial_key?)?;
+        let position = queue.requests.iter().position(|&queued| queued == id)?;
+        let cooldown = queue.cooldown_until.saturating_sub(self.now);
+        let may_send = position == 0 && (cooldown == 0 || !pending.attempts.is_empty());
+        (!may_send).then(|| cooldown + position as u64 * self.class_stats[pending.class].mean_us as Micros)
     }
 
-    /// Whether a request that waits for its turn may still be answered within its aim. The sweep
-    /// must come by in time to answer those that may not.
-    pub(super) fn worth_holding(&self, pending: &Pending, wait: Micros) -> bool {
-        let answer = self.now + wait + self.norms[pending.class].mean as Micros;
-        answer < pending.aim && self.now + 2 * SWEEP < pending.deadline
+    /// Whether a waiting request may still be answered within its aim, with a sweep in time to refuse it.
+    pub(super) fn is_worth_waiting(&self, pending: &PendingRequest, wait: Micros) -> bool {
+        let answered_at = self.now + wait + self.class_stats[pending.class].mean_us as Micros;
+        answered_at < pending.aim_until && self.now + 2 * SWEEP_PERIOD_US < pending.deadline
     }
 
-    /// Lets the first request of a key go if the key does not rest; forgets an idle key.
-    pub(super) fn give_turn(&mut self, key: Key, out: &mut Vec<Action>) {
-        let Some(turn) = self.turns.get(&key) else { return };
-        match turn.queue.front() {
-            Some(&id) if self.requests[&id].attempts.is_empty() => self.send_or_conclude(id, out),
-            None if self.now >= turn.rests_until => drop(self.turns.remove(&key)),
+    /// Sends the first waiting request of a key unless the key cools down, and removes an idle key.
+    pub(super) fn advance_serial_queue(&mut self, key: Key, actions: &mut Vec<Action>) {
+        let Some(queue) = self.serial_queues.get(&key) else { return };
+        match queue.requests.front() {
+            Some(&id) if self.requests[&id].attempts.is_empty() => self.send_or_reject(id, actions),
+            None if self.now >= queue.cooldown_until => drop(self.serial_queues.remove(&key)),
             _ => {}
         }
     }
 
-    pub(super) fn shed_held(&mut self, out: &mut Vec<Action>) {
-        let queued: Vec<RequestId> = self.turns.values().flat_map(|t| t.queue.iter().copied()).collect();
-        for id in queued {
+    pub(super) fn recheck_waiting_requests(&mut self, actions: &mut Vec<Action>) {
+        let ids: Vec<_> = self.serial_queues.values().flat_map(|q| q.requests.iter().copied()).collect();
+        for id in ids {
             if self.requests.get(&id).is_some_and(|p| p.attempts.is_empty()) {
-                self.send_or_conclude(id, out);
+                self.send_or_reject(id, actions);
             }
         }
     }
