--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -369,14 +369,14 @@
         let deadline = Instant::now() + head.time_left.saturating_sub(RESPONSE_MARGIN);
         let deadline = self.drain_deadline.get().map_or(deadline, |drain| deadline.min(drain));
         let id = self.next_request_id.replace(self.next_request_id.get() + 1);
-        let call = Rc::new(OutgoingRequest::new(head.method, head.target, head.headers, body));
+        let outgoing = Rc::new(OutgoingRequest::new(head.method, head.target, head.headers, body));
         // Servers tell requests apart by their X-Txn. A second request with the X-Txn of an open one could
         // run an effect twice, or get the response to the other.
-        let Some(_open_request) = OpenRequest::register(self, id, head.txn, call.clone()) else {
+        let Some(_open_request) = OpenRequest::register(self, id, head.txn, outgoing.clone()) else {
             return Err((StatusCode::CONFLICT, "a request with this X-Txn is open\n"));
         };
-        let (reply, answer) = oneshot::channel();
-        let arrival = ClientRequest {
+        let (reply, response) = oneshot::channel();
+        let client_request = ClientRequest {
             id,
             class: ClassId(head.class),
             tenant: head.tenant.map(TenantId),
@@ -384,13 +384,13 @@
             is_client_retry: head.is_client_retry,
             cost: head.cost,
             deadline,
-            outgoing: call,
+            outgoing,
             reply,
         };
-        if self.driver.send(DriverMessage::Request(Box::new(arrival))).is_err() {
+        if self.driver.send(DriverMessage::Request(Box::new(client_request))).is_err() {
             return Ok(self.refusal_response(Some(OVERLOAD_RETRY_AFTER)));
         }
-        Ok(match answer.await {
+        Ok(match response.await {
             Ok(ClientResponse::Served(headers, body)) => server_response(headers, body),
             Ok(ClientResponse::Refused(retry_after)) => self.refusal_response(retry_after),
             Ok(ClientResponse::Failed) => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
@@ -435,14 +435,14 @@
     clients: &'a Clients,
     id: u64,
     txn: String,
-    call: Rc<OutgoingRequest>,
+    outgoing: Rc<OutgoingRequest>,
 }
 
 impl<'a> OpenRequest<'a> {
     /// Registers the request's `X-Txn`; `None` if an open request has the same one.
-    fn register(clients: &'a Clients, id: u64, txn: String, call: Rc<OutgoingRequest>) -> Option<Self> {
+    fn register(clients: &'a Clients, id: u64, txn: String, outgoing: Rc<OutgoingRequest>) -> Option<Self> {
         let is_new = clients.open_txns.borrow_mut().insert(txn.clone());
-        is_new.then(|| OpenRequest { clients, id, txn, call })
+        is_new.then(|| OpenRequest { clients, id, txn, outgoing })
     }
 }
 
@@ -450,7 +450,7 @@
     fn drop(&mut self) {
         self.clients.open_txns.borrow_mut().remove(&self.txn);
         // Set here and not only when the driver handles the message: an attempt may be about to be written.
-        self.call.is_finished.set(true);
+        self.outgoing.is_finished.set(true);
         // If the request was answered, the driver has forgotten the id or knows that the request has ended.
         let _ = self.clients.driver.send(DriverMessage::Disconnected(self.id));
     }
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused() {
-    for does in [
+    for behavior in [
         Behavior::CloseUnanswered,
         Behavior::TruncateBody,
         Behavior::RespondEmpty("500 Oops"),
@@ -47,7 +47,7 @@
         Behavior::RespondEmpty("504 Late"),
     ] {
         let harness = Harness::new(3);
-        harness.set_behavior(does);
+        harness.set_behavior(behavior);
         let status = harness.send_request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{status}");
         assert_eq!(harness.take_requests().len(), 1);
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -47,8 +47,8 @@
 }
 
 // Clients send on any connection that is open, also while a draining node closes its idle connections. A
-// connection on which a request has begun to arrive is not idle, but hyper counts it as idle until the head is
-// complete, and once closed it in the middle of the request.
+// connection on which a request has begun to arrive is not idle, but hyper counts it as idle until the head
+// is complete, and once closed it in the middle of the request.
 #[test]
 fn a_request_that_is_arriving_when_idle_connections_close_is_served() {
     let mut harness = Harness::new(1);
