--- a/src/bin/woodgap/cold.rs
+++ b/src/bin/woodgap/cold.rs
@@ -19,7 +19,7 @@
 pub struct ServerStart<'a> {
     pub id: &'a str,
     /// When the process started: Unix time in milliseconds.
-    pub since_ms: u64,
+    pub started_at_ms: u64,
     pub size: f64,
 }
 
@@ -53,26 +53,26 @@
     /// Records a send, if the server started less than the duration of the ramp ago.
     pub fn record(&self, server: &ServerStart<'_>) {
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        if unix_ms.saturating_sub(server.since_ms) < self.ramp.duration_ms {
+        if unix_ms.saturating_sub(server.started_at_ms) < self.ramp.duration_ms {
             let mut sends = self.sends.borrow_mut();
             let new_sends = || Sends { size: server.size, buckets: BTreeMap::new() };
             let Sends { buckets, .. } =
-                sends.entry((server.id.to_owned(), server.since_ms)).or_insert_with(new_sends);
+                sends.entry((server.id.to_owned(), server.started_at_ms)).or_insert_with(new_sends);
             *buckets.entry(unix_ms / BUCKET_MS * BUCKET_MS).or_insert(0) += 1;
         }
     }
 
-    /// Logs the sends recorded since the previous call. `able` is the total size of all servers in service.
-    pub fn log(&self, able: f64) {
+    /// Logs the sends recorded since the previous call. `total_size` is that of all servers in service.
+    pub fn log(&self, total_size: f64) {
         let sends = std::mem::take(&mut *self.sends.borrow_mut());
         if sends.is_empty() {
             return;
         }
         let mut cold = String::new();
-        for ((id, since_ms), Sends { size, buckets }) in sends {
-            let _ = write!(cold, "{id}@{since_ms}/{size}");
-            for (at, count) in buckets {
-                let _ = write!(cold, ",{at}={count}");
+        for ((id, started_at_ms), Sends { size, buckets }) in sends {
+            let _ = write!(cold, "{id}@{started_at_ms}/{size}");
+            for (bucket_start_ms, count) in buckets {
+                let _ = write!(cold, ",{bucket_start_ms}={count}");
             }
             cold.push(' ');
         }
@@ -80,7 +80,7 @@
         tracing::debug!(
             target: "woodgap::cold",
             cold = cold.trim_end(),
-            able,
+            able = total_size,
             start = start_capacity,
             span_ms = duration_ms,
             multiple = cold_overload_multiple,
--- a/src/bin/woodgap/discovery/watch_loop.rs
+++ b/src/bin/woodgap/discovery/watch_loop.rs
@@ -93,7 +93,13 @@
                 }
             }
         };
-        tracing::warn!(target: "woodgap::discovery::keep", discovery = %endpoint, revision, %reason, "watch ended");
+        tracing::warn!(
+            target: "woodgap::discovery::keep",
+            discovery = %endpoint,
+            revision,
+            %reason,
+            "watch ended"
+        );
     }
 }
 
@@ -110,8 +116,8 @@
     fn max_tries_and_timeout(&self) -> (usize, Duration) {
         match self.kind {
             EndpointKind::Agent => (MAX_AGENT_TRIES, AGENT_TRY_TIMEOUT),
-            // A call may wait in the service's queue for this long: the silence of the old watch and two such
-            // calls take less than 6 s.
+            // A call may wait in the service's queue for this long. After the silence of the old watch and one such
+            // call without an answer the next call still starts within 6 s.
             EndpointKind::SharedService => (1, SILENCE_TIMEOUT),
         }
     }
@@ -164,7 +170,12 @@
             Some(ended) = tries.join_next_with_id() => {
                 let (id, reason) = match ended {
                     Ok((_, Ok(Ok(watch_and_first)))) => {
-                        tracing::debug!(target: "woodgap::discovery::keep", discovery = %endpoint, revision, "watch open");
+                        tracing::debug!(
+                            target: "woodgap::discovery::keep",
+                            discovery = %endpoint,
+                            revision,
+                            "watch open"
+                        );
                         pacer.record_success();
                         return watch_and_first;
                     }
@@ -176,7 +187,13 @@
                 pacer.record_failure();
                 // One line for each outage, not one for each try.
                 if !std::mem::replace(&mut is_failure_logged, true) {
-                    tracing::warn!(target: "woodgap::discovery::keep", discovery = %endpoint, revision, reason, "no watch could be opened yet");
+                    tracing::warn!(
+                        target: "woodgap::discovery::keep",
+                        discovery = %endpoint,
+                        revision,
+                        reason,
+                        "no watch could be opened yet"
+                    );
                 }
             }
         }
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -1,4 +1,4 @@
-//! The driver task. It owns the [`Balancer`], passes it events and executes the actions it returns in their order.
+//! The driver task. It owns the [`Balancer`], passes events to it and executes the returned actions in order.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -34,8 +34,11 @@
 
 /// The final response to a client's request.
 pub enum ClientResponse {
+    /// A server's response.
     Served(HeaderMap, Bytes),
+    /// The request can be repeated without harm, after this time if there is one.
     Refused(Option<Duration>),
+    /// The request may have run.
     Failed,
     /// Sent by the driver itself when no other response was there by the deadline.
     DeadlineExceeded,
@@ -48,9 +51,12 @@
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<Key>,
+    /// The client says that it sent the request before.
     pub is_client_retry: bool,
+    /// The expected work.
     pub cost: Option<Micros>,
     pub deadline: Instant,
+    /// The request as it is sent to servers.
     pub outgoing: Rc<OutgoingRequest>,
     pub reply: oneshot::Sender<ClientResponse>,
 }
@@ -61,11 +67,13 @@
     Request(Box<ClientRequest>),
     /// The client of the request with this id no longer waits for a response.
     Disconnected(u64),
+    /// An attempt of the request with this id has ended.
     AttemptEnded {
         id: u64,
         attempt: u32,
         result: AttemptResult,
     },
+    /// A probe has ended after this time.
     ProbeEnded {
         server: ServerId,
         result: AttemptResult,
@@ -76,6 +84,7 @@
         watch_number: u64,
         list: ServerList,
     },
+    /// The node with this number has sent a datagram.
     PeerDatagram {
         from: u32,
         data: Vec<u8>,
@@ -122,12 +131,14 @@
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
+    /// By the id of the [`ClientRequest`].
     pending: HashMap<u64, PendingRequest>,
     schedule: DelayQueue<Scheduled>,
     /// Events that the balancer has not handled yet.
     events: VecDeque<Event>,
     servers: Rc<Servers>,
     peers: Option<Rc<Peers>>,
+    /// The address of the endpoint that serves the watch.
     discovery: SocketAddr,
     discovery_mode: DiscoveryMode,
     max_attempts: usize,
@@ -138,6 +149,7 @@
     watch_task: Option<AbortOnDrop>,
     /// Reports the list revision behind each attempt, if the configuration asks for it.
     reporter: Option<Rc<RevisionReporter>>,
+    /// Sends messages to this driver; cloned into the tasks that it starts.
     tx: mpsc::UnboundedSender<DriverMessage>,
     maintenance_runs: u64,
 }
@@ -186,9 +198,9 @@
     }
 
     /// Starts the balancer with the list of the configuration, which is the last one that this node had.
-    pub fn start(&mut self, known: &ServerList) {
-        self.set_revision(known.revision.unwrap_or(0));
-        let (_, members) = self.servers.apply_list(known);
+    pub fn start(&mut self, cached_list: &ServerList) {
+        self.set_revision(cached_list.revision.unwrap_or(0));
+        let (_, members) = self.servers.apply_list(cached_list);
         self.events.push_back(Event::Sync { kind: SyncKind::Cached, members });
         self.schedule.insert(Scheduled::Maintenance, MAINTENANCE_INTERVAL);
         if self.discovery_mode == DiscoveryMode::Push {
@@ -274,8 +286,8 @@
             }
             DriverMessage::DiscoveryMoved(addr) if addr == self.discovery => {}
             DriverMessage::DiscoveryMoved(addr) => {
-                // The old list stays in use until the new address has sent a complete one. Revision 0 asks
-                // for it: the revisions of the new address may stand for other changes.
+                // The old list stays in use until the new endpoint has sent a complete one. Revision 0 asks for it,
+                // because the new endpoint may number its changes differently.
                 (self.discovery, self.revision, self.watch_task) = (addr, 0, None);
                 self.open_watch();
             }
@@ -393,8 +405,8 @@
         self.events.push_back(Event::Sync { kind, members });
     }
 
-    /// Notes the revision that decisions are based on from now on. Every list is applied before the next
-    /// decision.
+    /// Sets the revision that decisions are based on from now on. A received list is applied completely before
+    /// the next decision.
     fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
         if let Some(reporter) = &self.reporter {
@@ -468,8 +480,8 @@
         }
     }
 
-    /// Starts an attempt, or reports it as [`Outcome::Moot`] where the request is over, has had its last attempt
-    /// or is past its deadline.
+    /// Starts an attempt. Reports it as [`Outcome::Moot`] instead if the request is finished, has had its last
+    /// attempt or is past its deadline. A `timeout` of 0 means the deadline of the request.
     fn start_attempt(&mut self, id: u64, server: ServerId, timeout: Micros, send_within: Option<Micros>) {
         let now = Instant::now();
         let pending = self.pending.get_mut(&id);
--- a/src/bin/woodgap/revision_reporter.rs
+++ b/src/bin/woodgap/revision_reporter.rs
@@ -115,7 +115,11 @@
                     self.agent_clock.set(clock.max(self.agent_clock.get()));
                     let is_out = response["admission"] == "out";
                     if self.is_excluded.replace(is_out) != is_out {
-                        tracing::warn!(target: "woodgap::witness", out = is_out, "the audit changed the node's admission");
+                        tracing::warn!(
+                            target: "woodgap::witness",
+                            out = is_out,
+                            "the audit took the node out of service or put it back"
+                        );
                     }
                 }
                 // The decisions go into the next report, and the admission stays as it was.
@@ -133,6 +137,7 @@
         }
     }
 
+    /// The report as JSON, with these decisions by revision.
     fn report(&self, decisions: &BTreeMap<u64, u64>) -> Value {
         let standing = self.false_revision.get().unwrap_or(self.revision.get());
         let oldest = self.running_attempts.borrow().keys().next().copied().unwrap_or(standing);
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -49,7 +49,7 @@
 struct ServerEntry {
     addr: SocketAddr,
     /// When the server's process started: Unix time in milliseconds.
-    since_ms: u64,
+    started_at_ms: u64,
     /// Changes with each restart, change of address or return to the list. A connection of another epoch
     /// leads to a process that is gone and is not used.
     epoch: u64,
@@ -93,51 +93,51 @@
 
     // The list.
 
-    /// Applies a list, and converts it to the kind and the members that the balancer is told.
+    /// Applies a list and converts it to the values of the balancer's [`woodgap::Event::Sync`].
     pub fn apply_list(&self, list: &ServerList) -> (SyncKind, Vec<Member>) {
         let mut entries = self.entries.borrow_mut();
         let mut names = self.names.borrow_mut();
         let mut zones = self.zones.borrow_mut();
         let mut members = Vec::with_capacity(list.entries.len());
         let mut in_service = Vec::new();
-        for entry in &list.entries {
-            let number = assign_server_number(&entry.id, &names);
+        for listed in &list.entries {
+            let number = assign_server_number(&listed.id, &names);
             let server = ServerId(number);
             members.push(Member {
                 server,
-                zone: zones.get_or_assign(&entry.zone),
-                cell: CellId(entry.cell),
-                state: entry.state,
-                size: entry.size,
-                started_at: entry.up_since_ms.saturating_mul(1000),
+                zone: zones.get_or_assign(&listed.zone),
+                cell: CellId(listed.cell),
+                state: listed.state,
+                size: listed.size,
+                started_at: listed.up_since_ms.saturating_mul(1000),
             });
-            if entry.state == ServerState::Terminated {
+            if listed.state == ServerState::Terminated {
                 entries.remove(&server);
                 names.remove(&number);
                 continue;
             }
-            names.insert(number, entry.id.clone());
-            let known = entries.entry(server).or_insert_with(|| ServerEntry {
-                addr: entry.addr,
-                since_ms: entry.up_since_ms,
+            names.insert(number, listed.id.clone());
+            let entry = entries.entry(server).or_insert_with(|| ServerEntry {
+                addr: listed.addr,
+                started_at_ms: listed.up_since_ms,
                 epoch: self.next_epoch(),
                 idle: Vec::new(),
-                size: entry.size,
+                size: listed.size,
                 is_draining: false,
                 is_replaced: false,
             });
             // The old connections lead to the process from before the restart or the move.
-            if (known.addr, known.since_ms) != (entry.addr, entry.up_since_ms) {
-                (known.addr, known.since_ms) = (entry.addr, entry.up_since_ms);
-                known.epoch = self.next_epoch();
-                known.idle.clear();
+            if (entry.addr, entry.started_at_ms) != (listed.addr, listed.up_since_ms) {
+                (entry.addr, entry.started_at_ms) = (listed.addr, listed.up_since_ms);
+                entry.epoch = self.next_epoch();
+                entry.idle.clear();
             }
-            if entry.state == ServerState::InService {
-                (known.is_draining, known.is_replaced) = (false, false);
-                in_service.push((server, entry.addr));
+            if listed.state == ServerState::InService {
+                (entry.is_draining, entry.is_replaced) = (false, false);
+                in_service.push((server, listed.addr));
             } else {
-                known.is_draining = true;
-                known.idle.clear();
+                entry.is_draining = true;
+                entry.idle.clear();
             }
         }
         // Requests for a server must not reach another one that has taken over its address.
@@ -150,10 +150,10 @@
             }
         }
         if list.is_complete {
-            let listed: std::collections::HashSet<ServerId> =
+            let listed_servers: std::collections::HashSet<ServerId> =
                 members.iter().map(|member| member.server).collect();
-            entries.retain(|server, _| listed.contains(server));
-            names.retain(|&number, _| listed.contains(&ServerId(number)));
+            entries.retain(|server, _| listed_servers.contains(server));
+            names.retain(|&number, _| listed_servers.contains(&ServerId(number)));
             return (SyncKind::Full, members);
         }
         (SyncKind::Delta, members)
@@ -218,16 +218,16 @@
         found
     }
 
-    /// Takes the most recently used idle connection that has been idle for [`MIN_IDLE_BEFORE_REUSE`], is open and has
-    /// received no bytes meanwhile.
+    /// Takes the most recently used connection that has been idle for at least [`MIN_IDLE_BEFORE_REUSE`], is open
+    /// and has received no bytes meanwhile.
     fn take_idle_connection(&self, server: ServerId) -> Option<ServerConnection> {
         let max_idle = self.settings.keepalive.mul_f64(REUSE_PART);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
-        while let Some(place) =
+        while let Some(index) =
             entry.idle.iter().rposition(|connection| connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE)
         {
-            let connection = entry.idle.remove(place);
+            let connection = entry.idle.remove(index);
             if connection.is_reusable() && connection.idle_since.elapsed() < max_idle {
                 self.counts.increment(Count::Reused);
                 return Some(connection);
@@ -278,7 +278,10 @@
     // Attempts.
 
     /// Sends a request to a server and waits for the response until the deadline. The request is not sent at all
-    /// if it could not be written by `send_by`. Dropping the future closes the attempt's connection.
+    /// if it can't be written by `send_by`. `acted_on` is the value of [`ACTED_ON_HEADER`]. Dropping the future
+    /// closes the attempt's connection.
+    ///
+    /// [`ACTED_ON_HEADER`]: crate::revision_reporter::ACTED_ON_HEADER
     pub async fn send_attempt(
         &self,
         server: ServerId,
@@ -313,12 +316,12 @@
                 }
                 return Outcome::ConnectFailed.into();
             }
-            // Meanwhile the client may have left, or `send_by` may have passed.
+            // While the connection came up, the client may have left or `send_by` may have passed.
             if request.is_finished.get() || (send_by < deadline && Instant::now() >= send_by) {
                 self.keep_idle(server, connection);
                 return Outcome::Moot.into();
             }
-            // The list may have changed meanwhile.
+            // The server's entry on the list may have changed, too.
             match self.address(server) {
                 Some((_, epoch)) if epoch != connection.epoch => continue,
                 Some(_) if Instant::now() < deadline => {}
@@ -338,7 +341,7 @@
                 // A server that began to respond is reachable; only its response is unusable.
                 Err(_) if connection.has_received_bytes() => return Outcome::Error.into(),
                 // The machine of a server that sent nothing may be gone. Requests on its other idle connections
-                // would get no answer either, while opening a new connection shows whether it is there.
+                // would get no answer either, while dialling shows at once whether the machine is there.
                 Err(_) => {
                     self.close_idle(server);
                     return Outcome::Timeout.into();
@@ -369,7 +372,7 @@
         }
         let (names, entries) = (self.names.borrow(), self.entries.borrow());
         if let (Some(id), Some(entry)) = (names.get(&server.0), entries.get(&server)) {
-            self.cold_sends.record(&ServerStart { id, since_ms: entry.since_ms, size: entry.size });
+            self.cold_sends.record(&ServerStart { id, started_at_ms: entry.started_at_ms, size: entry.size });
         }
     }
 
--- a/tests/node/harness.rs
+++ b/tests/node/harness.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest time that a test waits for anything. No step of a working node takes this long.
+/// The longest time that a test waits for a response, an event or a condition; a working node needs far less.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An HTTP request or response, read from a connection.
@@ -327,7 +327,7 @@
     pub fn send_raw(&self, text: &[u8]) -> Message {
         let mut stream = self.connect();
         stream.write_all(text).unwrap();
-        Message::read(&mut BufReader::new(stream)).expect("an answer")
+        Message::read(&mut BufReader::new(stream)).expect("a response")
     }
 
     /// Sends a request of this class with this id on a new connection and returns the response.
--- a/tests/node/links.rs
+++ b/tests/node/links.rs
@@ -115,9 +115,8 @@
         .map(|key| {
             let mut stream = harness.connect();
             stream.write_all(&request_bytes_with_key(key, "pay", &format!("lost-{key}"), 60_000)).unwrap();
-            assert!(
-                matches!(harness.server_events.recv_timeout(TEST_TIMEOUT), Ok(ServerEvent::Request(server, _)) if server == owner)
-            );
+            let event = harness.server_events.recv_timeout(TEST_TIMEOUT);
+            assert!(matches!(event, Ok(ServerEvent::Request(server, _)) if server == owner));
             stream
         })
         .collect();
