--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,8 +1,8 @@
-//! What the decisions cost: a request with its outcome, a change of the list with the rebuild of the table,
-//! and a sweep, for fleets of several sizes; each against a floor measured in the same run.
+//! Benchmarks of the policy: a request with its outcome, a change of the list with the rebuild of the table,
+//! and a sweep, for fleets of several sizes, each compared with a floor that is measured in the same run.
 //!
-//! `cargo bench --bench core` prints criterion's figures and at the end the ratios. An argument runs only the
-//! benchmarks whose name it is a part of (the floors as well, if it is to print ratios).
+//! `cargo bench --bench core` prints criterion's figures, then the ratios to the floors. An argument selects the
+//! benchmarks whose name contains it; for ratios it must select the floors as well.
 
 use std::hint::black_box;
 use std::path::{Path, PathBuf};
@@ -14,19 +14,19 @@
 use woodgap::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-const SERVERS: [u32; 4] = [12, 60, 200, 1_000];
-const NODES: [u32; 3] = [2, 100, 300];
+const SERVER_COUNTS: [u32; 4] = [12, 60, 200, 1_000];
+const NODE_COUNTS: [u32; 3] = [2, 100, 300];
 /// Requests between two sweeps.
-const BETWEEN: u64 = 100;
+const REQUESTS_PER_SWEEP: u64 = 100;
 /// Distinct keys: as many as a site of the largest size has.
-const KEYS: u64 = 5_700;
+const KEY_COUNT: u64 = 5_700;
 
-/// A node that has seen some traffic.
+/// A node that has served some requests.
 struct Node {
     balancer: Balancer,
     now: Micros,
-    next: u64,
-    out: Vec<Action>,
+    requests: u64,
+    actions: Vec<Action>,
     servers: u32,
 }
 
@@ -71,43 +71,43 @@
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, 1);
-        let mut node = Node { balancer, now: 1_000_000, next: 0, out: Vec::new(), servers };
+        let mut node = Node { balancer, now: 1_000_000, requests: 0, actions: Vec::new(), servers };
         let members = (0..servers).map(|n| member(n, ServerState::InService)).collect();
-        node.event(Event::Sync { kind: SyncKind::Cached, members });
-        for _ in 0..20 * BETWEEN {
-            node.request();
+        node.feed(Event::Sync { kind: SyncKind::Cached, members });
+        for _ in 0..20 * REQUESTS_PER_SWEEP {
+            node.serve_request();
         }
-        node.sweep();
+        node.run_sweep();
         node
     }
 
-    fn event(&mut self, event: Event) {
-        self.out.clear();
-        self.balancer.on_event(self.now, event, &mut self.out);
+    fn feed(&mut self, event: Event) {
+        self.actions.clear();
+        self.balancer.on_event(self.now, event, &mut self.actions);
     }
 
-    /// A request and its outcome. Keys: half of the requests share a twentieth of them.
-    fn request(&mut self) {
-        self.next += 1;
+    /// Feeds a request and its outcome. Half of the requests share a twentieth of the keys.
+    fn serve_request(&mut self) {
+        self.requests += 1;
         self.now += 1_000;
         let mut bytes = [b'0'; 36];
-        bytes[..8].copy_from_slice(&self.next.to_le_bytes());
+        bytes[..8].copy_from_slice(&self.requests.to_le_bytes());
         let id = RequestId(bytes);
-        let drawn = self.next.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
-        let key = drawn % if self.next.is_multiple_of(2) { KEYS / 20 } else { KEYS };
-        self.event(Event::Request(Request {
+        let random = self.requests.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
+        let key = random % if self.requests.is_multiple_of(2) { KEY_COUNT / 20 } else { KEY_COUNT };
+        self.feed(Event::Request(Request {
             id,
             time_left: 1_000_000,
-            class: ClassId((self.next % 4) as usize),
+            class: ClassId((self.requests % 4) as usize),
             cost: None,
             is_client_retry: false,
             tenant: None,
             key: Some(Key(key)),
         }));
-        let Some(&Action::Send { server, .. }) = self.out.first() else {
-            panic!("a calm node sends each request: {:?}", self.out);
+        let Some(&Action::Send { server, .. }) = self.actions.first() else {
+            panic!("a node without load sends each request: {:?}", self.actions);
         };
-        let closed = AttemptEnd {
+        let end = AttemptEnd {
             id,
             attempt: 0,
             server,
@@ -116,41 +116,41 @@
             is_request_done: true,
             load_report: Vec::new(),
         };
-        self.event(Event::AttemptEnded(closed));
+        self.feed(Event::AttemptEnded(end));
     }
 
-    fn sweep(&mut self) {
+    fn run_sweep(&mut self) {
         self.now += 100_000;
-        self.event(Event::TimerExpired(TimerId(1)));
+        self.feed(Event::TimerExpired(TimerId(1)));
     }
 
-    /// One server drains or comes back; the request is the first to need the new table.
-    fn rebuild(&mut self) {
+    /// Takes a server out of service or back; the request that follows is the first to need the new table.
+    fn rebuild_table(&mut self) {
         let states = [ServerState::InService, ServerState::Terminating];
-        let state = states[(self.next % 2) as usize];
+        let state = states[(self.requests % 2) as usize];
         let members = vec![member(self.servers / 2, state)];
-        self.event(Event::Sync { kind: SyncKind::Delta, members });
-        self.request();
+        self.feed(Event::Sync { kind: SyncKind::Delta, members });
+        self.serve_request();
     }
 }
 
-/// The time of `times` runs of `work`, with a sweep that does not count between some of them.
-fn timed(node: &mut Node, times: u64, mut work: impl FnMut(&mut Node)) -> Duration {
-    let (mut spent, mut left) = (Duration::ZERO, times);
+/// Returns the time of a number of runs of an operation, without the sweeps between them.
+fn time_runs(node: &mut Node, runs: u64, mut operation: impl FnMut(&mut Node)) -> Duration {
+    let (mut elapsed, mut left) = (Duration::ZERO, runs);
     while left > 0 {
-        let now = left.min(BETWEEN);
+        let batch = left.min(REQUESTS_PER_SWEEP);
         let start = Instant::now();
-        for _ in 0..now {
-            work(node);
+        for _ in 0..batch {
+            operation(node);
         }
-        spent += start.elapsed();
-        node.sweep();
-        left -= now;
+        elapsed += start.elapsed();
+        node.run_sweep();
+        left -= batch;
     }
-    spent
+    elapsed
 }
 
-fn floors(criterion: &mut Criterion) {
+fn bench_floors(criterion: &mut Criterion) {
     let table: Vec<u32> = (0..TABLE_SLOTS as u32).collect();
     let mut group = criterion.benchmark_group("floor");
     group.bench_function("request", |b| {
@@ -170,7 +170,7 @@
             table
         });
     });
-    for servers in SERVERS {
+    for servers in SERVER_COUNTS {
         let numbers: Vec<f64> = (0..servers).map(f64::from).collect();
         group.bench_function(BenchmarkId::new("sweep", servers), |b| {
             b.iter(|| black_box(&numbers).iter().fold(0.0, |sum, number| sum + black_box(*number)));
@@ -179,17 +179,17 @@
     group.finish();
 }
 
-fn decisions(criterion: &mut Criterion) {
-    type Work = fn(&mut Node);
-    let works: [(&str, Work); 3] =
-        [("request", Node::request), ("rebuild", Node::rebuild), ("sweep", Node::sweep)];
-    for (name, work) in works {
+fn bench_policy(criterion: &mut Criterion) {
+    type Operation = fn(&mut Node);
+    let operations: [(&str, Operation); 3] =
+        [("request", Node::serve_request), ("rebuild", Node::rebuild_table), ("sweep", Node::run_sweep)];
+    for (name, operation) in operations {
         let mut group = criterion.benchmark_group(name);
-        for servers in SERVERS {
-            for nodes in NODES {
+        for servers in SERVER_COUNTS {
+            for nodes in NODE_COUNTS {
                 let mut node = Node::new(servers, nodes);
                 group.bench_function(BenchmarkId::new(servers.to_string(), nodes), |b| {
-                    b.iter_custom(|times| timed(&mut node, times, work));
+                    b.iter_custom(|runs| time_runs(&mut node, runs, operation));
                 });
             }
         }
@@ -197,8 +197,8 @@
     }
 }
 
-/// The median that criterion wrote down, in nanoseconds.
-fn median(results: &Path, name: &str) -> Option<f64> {
+/// Reads the median that criterion wrote, in nanoseconds.
+fn read_median_ns(results: &Path, name: &str) -> Option<f64> {
     let text = std::fs::read_to_string(results.join(name).join("new/estimates.json")).ok()?;
     serde_json::from_str::<Value>(&text).ok()?["median"]["point_estimate"].as_f64()
 }
@@ -208,14 +208,20 @@
         "\n{:8} {:>7} {:>5}  {:>12}  {:>12}  {:>9}",
         "what", "servers", "nodes", "median ns", "floor ns", "ratio"
     );
-    for what in ["request", "rebuild", "sweep"] {
-        for servers in SERVERS {
-            for nodes in NODES {
-                let floor =
-                    if what == "sweep" { format!("floor/sweep/{servers}") } else { format!("floor/{what}") };
-                let measured = median(results, &format!("{what}/{servers}/{nodes}"));
-                if let (Some(ns), Some(floor)) = (measured, median(results, &floor)) {
-                    println!("{what:8} {servers:7} {nodes:5}  {ns:12.0}  {floor:12.1}  {:9.1}", ns / floor);
+    for operation in ["request", "rebuild", "sweep"] {
+        for servers in SERVER_COUNTS {
+            for nodes in NODE_COUNTS {
+                let floor = if operation == "sweep" {
+                    format!("floor/sweep/{servers}")
+                } else {
+                    format!("floor/{operation}")
+                };
+                let measured = read_median_ns(results, &format!("{operation}/{servers}/{nodes}"));
+                if let (Some(ns), Some(floor)) = (measured, read_median_ns(results, &floor)) {
+                    println!(
+                        "{operation:8} {servers:7} {nodes:5}  {ns:12.0}  {floor:12.1}  {:9.1}",
+                        ns / floor
+                    );
                 }
             }
         }
@@ -223,7 +229,7 @@
 }
 
 fn main() {
-    // Where nothing older lies: what is not run now is not printed.
+    // A directory without older results: benchmarks that do not run now are not printed.
     let results = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("core-{}", std::process::id()));
     let mut criterion = Criterion::default()
         .sample_size(20)
@@ -232,8 +238,8 @@
         .without_plots()
         .output_directory(&results)
         .configure_from_args();
-    floors(&mut criterion);
-    decisions(&mut criterion);
+    bench_floors(&mut criterion);
+    bench_policy(&mut criterion);
     print_ratios(&results);
     criterion.final_summary();
     let _ = std::fs::remove_dir_all(&results);
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table: what nodes must agree on, and what a change of the fleet may move.
+//! The Maglev table: all nodes must build the same one, and a change of the fleet may move few slots.
 
 use woodgap::policy::{build_table, TABLE_SLOTS};
 use woodgap::ServerId;
@@ -12,52 +12,58 @@
 }
 
 #[test]
-fn does_not_depend_on_list_order() {
+fn the_table_does_not_depend_on_list_order() {
     let servers = fleet(40);
-    let mut turned = servers.clone();
-    turned.reverse();
-    turned.swap(3, 17);
-    assert_eq!(owners(&servers), owners(&turned));
+    let mut reordered = servers.clone();
+    reordered.reverse();
+    reordered.swap(3, 17);
+    assert_eq!(owners(&servers), owners(&reordered));
 }
 
 #[test]
-fn fills_evenly_by_weight() {
+fn servers_own_slots_in_proportion_to_their_weight() {
     for n in [3, 30, 200] {
         let servers = fleet(n);
         let table = owners(&servers);
         assert_eq!(table.len(), TABLE_SLOTS);
         let total: f64 = servers.iter().map(|s| s.1).sum();
         for (id, size) in &servers {
-            let due = size / total * TABLE_SLOTS as f64;
+            let expected = size / total * TABLE_SLOTS as f64;
             let owned = table.iter().filter(|o| *o == id).count() as f64;
-            assert!((owned - due).abs() <= 0.02 * due + 2.0, "{id:?} of {n}: {owned}, due {due}");
+            assert!(
+                (owned - expected).abs() <= 0.02 * expected + 2.0,
+                "{id:?} of {n}: owns {owned} slots, expected {expected}"
+            );
         }
     }
 }
 
 #[test]
-fn one_server_less_moves_its_slots_and_few_others() {
+fn removing_a_server_moves_its_slots_and_few_others() {
     let servers = fleet(60);
     let before = owners(&servers);
-    let gone = servers[21].0;
-    let after = owners(&servers.iter().copied().filter(|s| s.0 != gone).collect::<Vec<_>>());
-    let own = before.iter().filter(|o| **o == gone).count();
-    let others = before.iter().zip(&after).filter(|(b, a)| **b != gone && b != a).count();
-    assert!(own > 0 && !after.contains(&gone));
-    assert!(others < TABLE_SLOTS / 30, "{others} slots of others moved, {own} had to");
+    let removed = servers[21].0;
+    let after = owners(&servers.iter().copied().filter(|s| s.0 != removed).collect::<Vec<_>>());
+    let removed_slots = before.iter().filter(|o| **o == removed).count();
+    let other_slots = before.iter().zip(&after).filter(|(b, a)| **b != removed && b != a).count();
+    assert!(removed_slots > 0 && !after.contains(&removed));
+    assert!(
+        other_slots < TABLE_SLOTS / 30,
+        "{other_slots} slots of other servers moved besides the {removed_slots} of the removed one"
+    );
 }
 
 #[test]
-fn golden_values_pin_the_hashes() {
+fn owners_match_the_golden_values() {
     let table = owners(&fleet(5));
-    let seen: Vec<u32> = [0, 1, 100, 5_000, 16_380].iter().map(|&s: &usize| table[s].0).collect();
-    assert_eq!(seen, GOLDEN);
+    let slot_owners: Vec<u32> = [0, 1, 100, 5_000, 16_380].iter().map(|&s: &usize| table[s].0).collect();
+    assert_eq!(slot_owners, GOLDEN_OWNERS);
 }
 
-/// Nodes on different builds must agree: a change here splits keys between them.
-const GOLDEN: [u32; 5] = [13, 13, 7932, 13, 31689];
+/// Nodes of different builds must agree on the owners: otherwise they send the same key to different servers.
+const GOLDEN_OWNERS: [u32; 5] = [13, 13, 7932, 13, 31689];
 
 #[test]
-fn an_empty_fleet_has_no_table() {
+fn an_empty_fleet_has_an_empty_table() {
     assert!(build_table(&[]).is_empty());
 }
