--- a/tests/node/list.rs
+++ b/tests/node/list.rs
@@ -8,7 +8,7 @@
 use crate::harness::*;
 
 /// Waits until requests reach only these servers.
-fn wait_until_used(harness: &Harness, servers: &[usize]) {
+fn wait_until_only_used(harness: &Harness, servers: &[usize]) {
     let mut round = 0;
     wait_until("only the listed servers are used", || {
         round += 1;
@@ -19,7 +19,7 @@
 }
 
 /// A complete list without the first server.
-fn without_the_first(harness: &Harness, revision: u64) -> Value {
+fn list_without_first_server(harness: &Harness, revision: u64) -> Value {
     json!({"revision": revision, "complete": true, "members": harness.members[1..]})
 }
 
@@ -32,14 +32,14 @@
     for part in list.as_bytes().chunks(7) {
         write_chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
-    wait_until_used(&harness, &[1, 2]);
+    wait_until_only_used(&harness, &[1, 2]);
     harness.members[1]["phase"] = json!("terminating");
     let list = json!({"revision": 44, "complete": false, "members": [harness.members[1]]});
     write_chunk(&mut stream, "\n");
     for line in serde_json::to_string_pretty(&list).unwrap().split_inclusive('\n') {
         write_chunk(&mut stream, line);
     }
-    wait_until_used(&harness, &[2]);
+    wait_until_only_used(&harness, &[2]);
     // After the end of a watch the node opens a new one from the last revision.
     drop(stream);
     harness.next_watch_from(44);
@@ -56,8 +56,8 @@
         write_chunk(&mut silent, "\n");
         let _unanswered = [harness.next_watch_from(0), harness.next_watch_from(0)];
         let mut stream = harness.next_watch_from(0);
-        write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 50)));
-        wait_until_used(&harness, &[1]);
+        write_chunk(&mut stream, &format!("{}\n", list_without_first_server(&harness, 50)));
+        wait_until_only_used(&harness, &[1]);
     }
 }
 
@@ -67,17 +67,17 @@
     let harness = Harness::new(2);
     let mut endless = harness.next_watch_from(41);
     write_chunk(&mut endless, "\n{\"revision\": 42, ");
-    let trickle = std::thread::spawn(move || {
+    let writer = std::thread::spawn(move || {
         use std::io::Write;
         while endless.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
     });
     let mut stream = harness.next_watch_from(0);
-    write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 50)));
-    wait_until_used(&harness, &[1]);
+    write_chunk(&mut stream, &format!("{}\n", list_without_first_server(&harness, 50)));
+    wait_until_only_used(&harness, &[1]);
     // The node closed the endless watch.
-    trickle.join().unwrap();
+    writer.join().unwrap();
 }
 
 // The agent's list counts as known to a new process from its start. The older list of the configuration is only for
@@ -88,8 +88,8 @@
         settings["registry-mode"] = json!("push")
     });
     let mut stream = harness.next_watch_from(41);
-    write_chunk(&mut stream, &format!("{}\n", without_the_first(&harness, 90)));
-    wait_until_used(&harness, &[1]);
+    write_chunk(&mut stream, &format!("{}\n", list_without_first_server(&harness, 90)));
+    wait_until_only_used(&harness, &[1]);
 }
 
 // A process that ended on SIGHUP would lose its requests. A node that stayed with the old discovery, or asked the new
@@ -113,7 +113,7 @@
         assert_eq!(harness.send_request("pay", "1").status(), 200);
         let list = json!({"revision": 7, "complete": true, "members": [harness.members[server]]});
         write_chunk(&mut stream, &format!("{list}\n"));
-        wait_until_used(&harness, &[server]);
+        wait_until_only_used(&harness, &[server]);
     }
     harness.send_signal("-TERM");
     harness.send_signal("-HUP");
