--- a/src/api.rs
+++ b/src/api.rs
@@ -368,8 +368,8 @@
         server: ServerId,
         /// The attempt's timeout.
         timeout: Micros,
-        /// If set, the attempt must be sent within this time or not at all: a deduplicated repeat that is
-        /// sent after the servers' time to live may run twice.
+        /// If set, the attempt must be sent within this time or not at all: a repeat that is sent after the
+        /// `ttl` of [`Semantics::Deduplicated`] may run twice.
         send_within: Option<Micros>,
     },
     /// Cancel an attempt.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -14,7 +14,6 @@
 /// Slot share that a server regains per sweep, and the smallest slot share.
 const SLOT_SHARE_REGAIN: f64 = 0.01;
 const MIN_SLOT_SHARE: f64 = 0.05;
-/// Slot share of a server that has just returned from an ejection.
 const REINSTATED_SLOT_SHARE: f64 = 0.3;
 /// A server is ejected when more than this fraction of its recent attempts failed, and more than this
 /// multiple of the fleet's fraction. Lower values eject sooner, and more often by chance.
@@ -36,7 +35,6 @@
 /// accept a limited number. Otherwise a small group keeps them.
 const MAX_CONNECT_FAILURES: f64 = 0.02;
 
-/// What a node knows of a server.
 pub(super) struct Server {
     pub(super) member: Member,
     pub(super) is_in_service: bool,
@@ -67,7 +65,6 @@
     pub(super) class_health: Vec<ClassHealth>,
 }
 
-/// A server's health for the requests of one class.
 #[derive(Clone, Default)]
 pub(super) struct ClassHealth {
     /// Fraction of recent attempts that ended in an error, or in a timeout while the server answered others.
@@ -145,8 +142,8 @@
         // few servers are ejected, the server hangs: no sign that the fleet is overloaded. In a large group
         // no server answers one node that often; if one server after the other hangs, all are overloaded.
         let is_silent = server.silent_since + end.elapsed <= self.now;
-        let are_few_out = self.load.ejected_share.max(self.load.silent_share) <= FEW_EJECTED_SHARE;
-        let is_hung = timed_out && is_silent && are_few_out;
+        let are_few_ejected = self.load.ejected_share.max(self.load.silent_share) <= FEW_EJECTED_SHARE;
+        let is_hung = timed_out && is_silent && are_few_ejected;
         if is_ok || (timed_out && !server.is_hung) {
             self.load.silent_share +=
                 0.03 * (f64::from(u8::from(timed_out && is_silent)) - self.load.silent_share);
@@ -256,7 +253,7 @@
         self.settings.can_probe && !self.is_large_group
     }
 
-    pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
+    pub(super) fn on_probe_ended(&mut self, id: ServerId, outcome: Outcome) {
         match self.server_index.get(&id) {
             Some(&i) if outcome == Outcome::Ok => self.servers[i].reinstate(),
             Some(&i) => self.eject(i),
@@ -303,7 +300,8 @@
         self.utilization.is_some_and(|utilization| utilization < IDLE_MAX_UTILIZATION)
     }
 
-    /// Factor on the slot share after a `Full` answer: an idle server loses little, down to what it accepts.
+    /// Factor on the slot share after a `Full` answer. An idle server that mostly answers `Full` loses a
+    /// little each time, down to about what it accepts.
     fn full_share_factor(&self) -> f64 {
         match self.rejects_while_idle() {
             false => FULL_SHARE_FACTOR,
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -19,7 +19,7 @@
 const LIMIT_SPREAD: f64 = 0.5;
 /// Length of `window_s` from which on the decaying counts are settled enough to use their maximum.
 const SETTLED_WINDOW_S: f64 = 3.0;
-/// Weight of the current rate in the usual one per sweep: 20 s on average, longer than servers warm up.
+/// Weight of the current rate in the usual one per sweep: it averages over 20 s, longer than a warm-up.
 const USUAL_RATE_STEP: f64 = 0.005;
 
 /// A class's mean answer time, traffic and failures.
@@ -41,7 +41,6 @@
     pub(super) silent_share: f64,
     /// Fraction of the recent answered or failed attempts that failed.
     pub(super) failure_share: f64,
-    /// Fraction of the recent attempts that got no connection.
     pub(super) connect_failure_share: f64,
     /// Most attempts that this node keeps in flight; unlimited until the first sign of overload.
     pub(super) in_flight_limit: f64,
@@ -178,12 +177,11 @@
         value * if is_over_quota { self.settings.over_quota_worth } else { 1.0 }
     }
 
-    /// Whether a request of this slot is beyond what a large group's listed servers can do while some are
-    /// gone or cold. The tenants' quotas tell what all servers are there for. A node sees signs of overload
-    /// only when the servers are overloaded already, and overload outlasts its cause. Keys that move are not
-    /// cached on their new servers and cost more, so recent losses count twice. A node that gets more than
-    /// its even part from a front end carries the same fraction of its usual rate. Refuses too much if the
-    /// servers can do far more.
+    /// Whether a request of this slot exceeds what a large group's listed servers can do while some are gone
+    /// or cold; the quotas tell what all are sized for. A node sees signs of overload only once servers are
+    /// overloaded, and overload outlasts its cause. Keys that move are not cached on their new servers and
+    /// cost more, so recent losses count twice. A node that a front end sends more than an even part carries
+    /// the same fraction of its usual rate. Refuses too much if servers can do far more.
     pub(super) fn exceeds_listed_capacity(&self, slot: usize) -> bool {
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let even_rate = quota / f64::from(self.settings.group_size)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -99,7 +99,7 @@
             Event::Request(request) => self.on_request(request, actions),
             Event::AttemptEnded(attempt) => self.on_attempt_ended(attempt, actions),
             Event::RequestEnded(id) => self.end_request(id, actions),
-            Event::ProbeEnded { server, outcome, .. } => self.on_probed(server, outcome),
+            Event::ProbeEnded { server, outcome, .. } => self.on_probe_ended(server, outcome),
             Event::TimerExpired(TIMER_SWEEP) => self.sweep(actions),
             Event::TimerExpired(TimerId(n)) if n >= TIMER_COOLDOWN_BASE => {
                 self.advance_serial_queue(Key(n - TIMER_COOLDOWN_BASE), actions)
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -38,6 +38,7 @@
         }
     }
 
+    /// Whether another attempt is within the bounds and cannot make the request run twice.
     pub(super) fn may_send(&self, pending: &PendingRequest) -> bool {
         let is_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
         if self.now >= pending.deadline
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Latest time at which a repeat of a request that may have run is dropped, less a margin for its way.
+    /// End of the time in which servers drop repeats of a request that may have run, less a margin for the
+    /// way.
     pub(super) fn dedup_window_end(&self, pending: &PendingRequest) -> Option<Micros> {
         let Semantics::Deduplicated { ttl, .. } = self.settings.classes[pending.class].semantics else {
             return None;
@@ -63,6 +65,7 @@
         Some(first.sent_at + ttl - ttl / 10)
     }
 
+    /// Whether the client may repeat the request after a refusal without running it twice.
     pub(super) fn may_refuse(&self, pending: &PendingRequest) -> bool {
         match self.settings.classes[pending.class].semantics {
             Semantics::Safe | Semantics::Deduplicated { scope: DedupScope::All, .. } => true,
--- a/src/policy/serial_queue.rs
+++ b/src/policy/serial_queue.rs
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Sends, keeps or refuses each waiting request by what holds now.
     pub(super) fn recheck_waiting_requests(&mut self, actions: &mut Vec<Action>) {
         let ids: Vec<_> = self.serial_queues.values().flat_map(|q| q.requests.iter().copied()).collect();
         for id in ids {
--- a/src/policy/table.rs
+++ b/src/policy/table.rs
@@ -8,7 +8,6 @@
 const OFFSET_SEED: u64 = 0x636f_7070_6572;
 const SKIP_SEED: u64 = 0x7461_636b;
 pub(super) const KEY_SEED: u64 = 0x006b_6579;
-/// Least credit that a small server gets per round.
 const MIN_CREDIT_PER_ROUND: f64 = 1.0 / 64.0;
 
 /// Builds the table for `(server, weight)` pairs. A slot holds its owner's position in `servers`; who owns
