--- a/src/policy/route.rs
+++ b/src/policy/route.rs
@@ -26,8 +26,8 @@
 const EXCESS_MARGIN: f64 = 2.0;
 /// If no owner qualifies, the first one with at least this slot share is used.
 const FALLBACK_MIN_SLOT_SHARE: f64 = 0.5;
-/// A cold server is sent this fraction of the load that would break it down, judged by what the fleet serves
-/// per size and capacity. A cold server has cached no keys yet, so it can do less than that.
+/// A cold server is sent at most this fraction of the load that would break it down, judged by what the fleet
+/// serves per size and capacity. It has cached no keys yet, so it can do less than that load suggests.
 pub(super) const COLD_LOAD_CAP: f64 = 0.45;
 
 pub(super) struct KeyCount {
