--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -43,7 +43,7 @@
                 hung_or_ejected.push(server);
             }
         }
-        node.advance_time(SWEEP_INTERVAL);
+        node.advance_time(SWEEP_PERIOD_US);
         let sent_to_hung: Vec<u64> =
             (1..200).filter(|&n| sent_server(&node.submit(n, UNSAFE, n)) == Some(hung)).collect();
         let (latest, earlier) = sent_to_hung.split_last().expect("some requests are sent to the hung server");
@@ -112,7 +112,7 @@
             Some(server) => drop(node.end_attempt(*n, 0, server, Outcome::Ok)),
             None => refusals += 1,
         }
-        node.advance_time(if n.is_multiple_of(per_sweep) { SWEEP_INTERVAL } else { 0 });
+        node.advance_time(if n.is_multiple_of(per_sweep) { SWEEP_PERIOD_US } else { 0 });
     }
     refusals
 }
@@ -133,7 +133,7 @@
         let mut submit_15 = |node: &mut Node| count_refusals(node, &mut n, 15, 1);
         (0..10).for_each(|_| assert_eq!(submit_15(&mut node), 0));
         node.sync(SyncKind::Full, (removed..60).map(member).collect());
-        node.advance_time(SWEEP_INTERVAL);
+        node.advance_time(SWEEP_PERIOD_US);
         for _ in 0..settling_time / SECOND {
             submit_15(&mut node);
         }
@@ -147,9 +147,9 @@
     assert_eq!(count_refused(100, 12, 30 * SECOND), 0);
 }
 
-// A front end may send a node far more than an even part of the traffic. When a few servers leave,
-// such a node (here with five times its even part) must refuse the same fraction as the other nodes, not
-// everything above its even part.
+// The front end before the nodes may send one of them far more than an even part of the traffic. When a few
+// servers leave, such a node (here with five times its even part) must refuse the same fraction as the other
+// nodes, not everything above its even part.
 #[test]
 fn a_node_with_an_uneven_part_of_the_traffic_refuses_only_what_the_removed_servers_carried() {
     let tenants = vec![Tenant { quota_per_s: 2_000.0 }];
@@ -159,7 +159,7 @@
     let mut submit_for_second = |node: &mut Node| count_refusals(node, &mut n, 100, 10);
     (0..10).for_each(|_| assert_eq!(submit_for_second(&mut node), 0));
     node.sync(SyncKind::Full, (12..60).map(member).collect());
-    node.advance_time(SWEEP_INTERVAL);
+    node.advance_time(SWEEP_PERIOD_US);
     let refused: u32 = (0..3).map(|_| submit_for_second(&mut node)).sum();
     assert!((30..100).contains(&refused), "{refused} of 300 refused with a fifth of the servers gone");
 }
@@ -177,7 +177,7 @@
         let (mut counts, mut in_flight) = (vec![[0.0; 2]; 100], std::collections::VecDeque::new());
         for n in 0..20_000u64 {
             node.now += 2_000;
-            node.advance_time(if n % 50 == 0 { SWEEP_INTERVAL } else { 0 });
+            node.advance_time(if n % 50 == 0 { SWEEP_PERIOD_US } else { 0 });
             let key = ((n + 20_000 * seed).wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) % 100;
             counts[key as usize][0] += 1.0;
             match sent_server(&node.submit(n, UNSAFE, key)) {
@@ -244,7 +244,7 @@
             if let Some((oldest, server)) = in_flight.pop_front() {
                 node.end_attempt_after(oldest, 0, server, Outcome::Ok, 900_000);
             }
-            node.advance_time(SWEEP_INTERVAL);
+            node.advance_time(SWEEP_PERIOD_US);
         }
         in_flight.len()
     };
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -17,9 +17,9 @@
 const DEDUP_ALL: usize = 3;
 
 /// How often the balancer sweeps over its servers.
-const SWEEP_INTERVAL: Micros = 100_000;
+const SWEEP_PERIOD_US: Micros = 100_000;
 /// The timer of that sweep.
-const SWEEP_TIMER: TimerId = TimerId(1);
+const TIMER_SWEEP: TimerId = TimerId(1);
 
 /// Submits `count` unsafe requests over one second, each with a key of its own and numbered from `first`. The
 /// attempt of each request ends with this outcome and duration before the next request is submitted. No
--- a/tests/decisions/serial_queue.rs
+++ b/tests/decisions/serial_queue.rs
@@ -64,9 +64,9 @@
     assert!((1..10).contains(&queued), "{queued} queued");
     let mut refusals = 0;
     while node.now < 101 * SECOND {
-        node.now += SWEEP_INTERVAL;
+        node.now += SWEEP_PERIOD_US;
         refusals += node
-            .handle_event(Event::TimerExpired(SWEEP_TIMER))
+            .handle_event(Event::TimerExpired(TIMER_SWEEP))
             .iter()
             .filter(|action| matches!(action, Action::Refuse { .. }))
             .count();
--- a/tests/decisions/servers.rs
+++ b/tests/decisions/servers.rs
@@ -67,7 +67,7 @@
         for n in 0..200 {
             let server = node.route(n, SAFE, n);
             node.end_attempt(n, 0, server, Outcome::Ok);
-            node.advance_time(if n % 2 == 0 { SWEEP_INTERVAL } else { 0 });
+            node.advance_time(if n % 2 == 0 { SWEEP_PERIOD_US } else { 0 });
         }
         let overloaded = node.route(1_000, UNSAFE, 5_000);
         node.now += 300_000;
@@ -87,9 +87,9 @@
     node.end_attempt(2_000, 0, other, Outcome::Ok);
     let mut probes = 0;
     let mut advance_time_and_count_probes = |node: &mut Node, span: Micros| {
-        for _ in 0..span / SWEEP_INTERVAL {
-            node.now += SWEEP_INTERVAL;
-            let actions = node.handle_event(Event::TimerExpired(SWEEP_TIMER));
+        for _ in 0..span / SWEEP_PERIOD_US {
+            node.now += SWEEP_PERIOD_US;
+            let actions = node.handle_event(Event::TimerExpired(TIMER_SWEEP));
             probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         }
     };
@@ -133,7 +133,7 @@
     let mut counts = [0u32; 4];
     // Ten seconds, the whole ramp of the cold server.
     for n in 0..1_000 {
-        node.advance_time(if n % 10 == 0 { SWEEP_INTERVAL } else { 0 });
+        node.advance_time(if n % 10 == 0 { SWEEP_PERIOD_US } else { 0 });
         node.now = node.now.min(110 * SECOND);
         let key = if n % 2 == 0 { 5 } else { n };
         let server = node.route(10 + n, UNSAFE, key);
@@ -165,7 +165,7 @@
             cold += u32::from(server == ServerId(10));
             node.end_attempt(n, 0, server, Outcome::Ok);
             if n % 10 == 9 {
-                node.advance_time(SWEEP_INTERVAL);
+                node.advance_time(SWEEP_PERIOD_US);
             }
         }
         cold
@@ -212,8 +212,8 @@
     }
     // The longest duration of a first ejection, and one sweep more.
     let start = node.now;
-    while !node.handle_event(Event::TimerExpired(SWEEP_TIMER)).contains(&Action::Probe(ServerId(3))) {
+    while !node.handle_event(Event::TimerExpired(TIMER_SWEEP)).contains(&Action::Probe(ServerId(3))) {
         assert!(node.now < start + 1_200_000, "still ejected");
-        node.now += SWEEP_INTERVAL;
+        node.now += SWEEP_PERIOD_US;
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -27,11 +27,12 @@
 const DEDUPLICATED: usize = 2;
 
 /// How often the balancer sweeps over its servers.
-const SWEEP_INTERVAL: Micros = 100_000;
+const SWEEP_PERIOD_US: Micros = 100_000;
 /// The timer after which the node subscribes again.
-const SUBSCRIBE_TIMER: TimerId = TimerId(2);
+const TIMER_SUBSCRIBE: TimerId = TimerId(2);
 
-/// One step of a random run. `pick` selects one of the attempts in flight or of the open requests.
+/// One step of a random run. `pick` selects one of the attempts in flight or of the open requests; `outcome`
+/// and the second number of each of the `servers` select an outcome and a state.
 #[derive(Clone, Debug)]
 enum Step {
     Submit { class: usize, key: u64, time_left: Micros },
@@ -43,6 +44,7 @@
     AdvanceTime { span: Micros },
 }
 
+/// Draws one step.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..4usize, prop_oneof![0..4u64, 0..40u64], 1..3 * SECOND)
@@ -57,6 +59,7 @@
     ]
 }
 
+/// What the host knows of an attempt.
 struct Attempt {
     member: Member,
     sent_at: Micros,
@@ -65,6 +68,7 @@
     may_have_run: Option<bool>,
 }
 
+/// What the host knows of a request.
 struct HostRequest {
     class: usize,
     /// The request's key, if its class is serial.
@@ -118,6 +122,7 @@
         }
     }
 
+    /// Checks an action and carries it out.
     fn check_action(&mut self, action: Action) {
         let now = self.node.now;
         match action {
@@ -137,7 +142,10 @@
                 }
                 let request = self.requests.get_mut(&n).expect("the request is known");
                 assert!(!request.is_ended, "an attempt for a request that has ended");
-                assert!(timeout > 0 && now + timeout <= request.deadline, "the timeout is past the deadline");
+                assert!(
+                    timeout > 0 && now + timeout <= request.deadline,
+                    "the timeout is zero or past the deadline"
+                );
                 assert!(request.attempts.len() < self.settings.max_attempts as usize);
                 let is_in_flight = request.attempts.iter().any(|a| a.may_have_run.is_none());
                 assert!(!is_in_flight || self.settings.allows_concurrent_attempts, "two attempts at once");
@@ -202,6 +210,7 @@
 
     fn sync(&mut self, kind: SyncKind, members: Vec<Member>) {
         if kind != SyncKind::Delta {
+            // A server that is not on a complete list has been removed.
             self.members.values_mut().for_each(|m| m.state = ServerState::Terminated);
         }
         for member in &members {
@@ -430,7 +439,7 @@
         for window in 0..9 {
             let (per_window, mut counts) = (2_000u64, [0u32; 12]);
             for n in 0..per_window {
-                node.advance_time(if n % 200 == 0 { SWEEP_INTERVAL } else { 0 });
+                node.advance_time(if n % 200 == 0 { SWEEP_PERIOD_US } else { 0 });
                 let n = window * per_window + n;
                 let key = if n % 5 == 0 { 7 } else { n };
                 let Some(server) = sent_server(&node.submit(n, SAFE, key)) else { continue };
@@ -461,13 +470,13 @@
     let mut actions = node.sync(SyncKind::Cached, vec![member(1)]);
     for _ in 0..12 {
         let delay = actions.iter().find_map(|action| match action {
-            Action::SetTimer { delay, timer: SUBSCRIBE_TIMER } => Some(*delay),
+            Action::SetTimer { delay, timer: TIMER_SUBSCRIBE } => Some(*delay),
             _ => None,
         });
         let delay = delay.expect("a timer to subscribe by");
         assert!(delay < settings.max_unsubscribed_time, "{delay}");
         node.now += delay;
-        assert_eq!(node.handle_event(Event::TimerExpired(SUBSCRIBE_TIMER)), vec![Action::Subscribe]);
+        assert_eq!(node.handle_event(Event::TimerExpired(TIMER_SUBSCRIBE)), vec![Action::Subscribe]);
         actions = node.sync(SyncKind::Failed, vec![]);
     }
 }
