--- a/crates/agent/src/api.rs
+++ b/crates/agent/src/api.rs
@@ -13,8 +13,8 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tokio_stream::StreamExt;
 
+use crate::reports::{Acted, Seen};
 use crate::service::{Msg, LINES};
-use crate::words::{Acted, Seen};
 
 /// The longest word of a node or a server.
 const LONGEST: usize = 1 << 20;
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -64,7 +64,7 @@
 
 impl Config {
     /// What is wrong with it, each with its key and what was expected.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut faults: Vec<String> = Vec::new();
         for (n, member) in self.members.iter().enumerate() {
             faults.extend(member.validate().map(|fault| format!("members[{n}].{fault}")));
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -10,13 +10,13 @@
 
 mod api;
 mod config;
-mod disk;
 mod list;
+mod list_cache;
+mod reports;
 mod service;
-mod words;
 
 pub use config::Config;
-pub use words::{Acted, Seen, SeenAttempts};
+pub use reports::{Acted, Seen, SeenAttempts};
 
 use anyhow::Context;
 use tokio::net::TcpListener;
@@ -28,7 +28,7 @@
 ///
 /// A configuration or an address that can't be used.
 pub async fn run(config: Config, ready: impl FnOnce(&str)) -> anyhow::Result<()> {
-    let faults = config.faults();
+    let faults = config.validate();
     anyhow::ensure!(faults.is_empty(), "{}", faults.join("\n"));
     let listener =
         TcpListener::bind(config.listen).await.with_context(|| format!("listen on {}", config.listen))?;
--- a/crates/agent/src/words.rs
+++ b/crates/agent/src/reports.rs
@@ -140,7 +140,7 @@
     /// All of it as the audit's events.
     pub fn take(&mut self) -> Vec<Event> {
         if self.dropped > 0 {
-            tracing::warn!(sights = self.dropped, "there was no room for some of what servers saw");
+            tracing::warn!(target: "agent::words", sights = self.dropped, "there was no room for some of what servers saw");
             self.dropped = 0;
         }
         let told = std::mem::take(&mut self.told).into_iter();
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -11,9 +11,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::Config;
-use crate::disk;
 use crate::list::{List, Took};
-use crate::words::{Acted, Seen, Words};
+use crate::list_cache;
+use crate::reports::{Acted, Seen, Words};
 
 /// A node is owed an empty line every 2 s.
 const BEAT: Duration = Duration::from_millis(1_900);
@@ -83,7 +83,7 @@
 
 impl Service {
     pub fn new(config: Config, tx: mpsc::Sender<Msg>) -> anyhow::Result<Service> {
-        let list = match disk::read(&config.cache) {
+        let list = match list_cache::read(&config.cache) {
             Ok(list) => list.unwrap_or_default(),
             Err(error) => {
                 tracing::warn!(error = format!("{error:#}"), "starts without its list");
@@ -245,7 +245,7 @@
         if std::mem::take(&mut self.dirty) {
             let (file, list) = (self.config.cache.clone(), self.list.clone());
             tokio::task::spawn_blocking(move || {
-                if let Err(error) = disk::write(&file, &list) {
+                if let Err(error) = list_cache::write(&file, &list) {
                     tracing::warn!(error = format!("{error:#}"), "the list is not on disk");
                 }
             });
@@ -264,7 +264,7 @@
     fn pass_on(&mut self) {
         self.passed = Instant::now();
         if self.passing.is_none() && !self.words.is_empty() {
-            self.passing = Some((Client::request_id(), self.words.take()));
+            self.passing = Some((Client::generate_request_id(), self.words.take()));
         }
         let Some((id, events)) = self.passing.clone() else { return };
         self.under_way = true;
@@ -275,7 +275,7 @@
                 tracing::debug!(%error, "what was heard is not passed on yet");
             }
             // What the registry can't read is not asked again.
-            let over = said.is_ok() || matches!(said, Err(client::Error::Refused(_)));
+            let over = said.is_ok() || matches!(said, Err(client::Error::Rejected(_)));
             let _ = tx.send(Msg::Passed(over)).await;
         });
     }
@@ -365,11 +365,11 @@
 async fn watch(mut watch: client::Watch, tx: mpsc::Sender<Msg>, mut moves: mpsc::Receiver<Move>) {
     loop {
         tokio::select! {
-            line = watch.next() => if tx.send(Msg::Line(line)).await.is_err() {
+            line = watch.next_line() => if tx.send(Msg::Line(line)).await.is_err() {
                 return;
             },
             order = moves.recv() => match order {
-                Some(Move::On) => watch.move_on(true),
+                Some(Move::On) => watch.switch_replica(true),
                 None => return,
             },
         }
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -12,14 +12,14 @@
 /// Runs a replica of the registry.
 pub fn run_registry(settings: Settings, out: &mut impl Write) -> anyhow::Result<ExitStatus> {
     let config = settings.registry.ok_or_else(|| missing_table("registry"))?;
-    check_faults(config.faults(), "registry")?;
+    check_faults(config.validate(), "registry")?;
     run_until_stopped(replica::run(config, |addresses| print_ready(out, "registry", addresses)))
 }
 
 /// Runs the agent of a machine.
 pub fn run_agent(settings: Settings, out: &mut impl Write) -> anyhow::Result<ExitStatus> {
     let config = settings.agent.ok_or_else(|| missing_table("agent"))?;
-    check_faults(config.faults(), "agent")?;
+    check_faults(config.validate(), "agent")?;
     run_until_stopped(agent::run(config, |addresses| print_ready(out, "agent", addresses)))
 }
 
--- a/crates/client/src/watch.rs
+++ b/crates/client/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watch that goes on at another replica.
+//! A watch on the registry that reconnects to another replica when one fails.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,84 +7,101 @@
 use serde_json::Value;
 use tokio::time::{sleep, timeout};
 
-use crate::{FIRST_PAUSE, LONGEST_PAUSE};
+use crate::{INITIAL_BACKOFF, MAX_BACKOFF};
 
-/// A replica says something at least every 2 s.
-const SILENCE: Duration = Duration::from_millis(2_500);
+/// How long a replica may send nothing before the watch leaves it. A replica sends at least an empty line every 2 s.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The longest line: a list of some ten thousand servers.
-const LONGEST: usize = 16 << 20;
+const MAX_LINE_BYTES: usize = 16 << 20;
 
 /// A watch on the registry.
 pub struct Watch {
     http: reqwest::Client,
     endpoints: Vec<SocketAddr>,
-    at: usize,
-    /// What it has; `None` where the whole list is due.
+    /// The index of the endpoint that is watched.
+    current: usize,
+    /// The revision of the last line; `None` if the next line has to be the complete list.
     revision: Option<u64>,
-    open: Option<(reqwest::Response, BytesMut)>,
-    pause: Duration,
+    /// The response that is being read, with the bytes that were received and not yet returned as lines.
+    open_response: Option<(reqwest::Response, BytesMut)>,
+    backoff: Duration,
 }
 
 impl Watch {
     pub(crate) fn new(
         http: reqwest::Client,
         endpoints: Vec<SocketAddr>,
-        at: usize,
+        first: usize,
         from: Option<u64>,
     ) -> Watch {
-        Watch { http, endpoints, at, revision: from, open: None, pause: FIRST_PAUSE }
+        Watch {
+            http,
+            endpoints,
+            current: first,
+            revision: from,
+            open_response: None,
+            backoff: INITIAL_BACKOFF,
+        }
     }
 
-    /// Drops what is open and goes on at another replica; `whole` asks it for the whole list.
-    pub fn move_on(&mut self, whole: bool) {
-        (self.open, self.at) = (None, (self.at + 1) % self.endpoints.len());
-        if whole {
+    /// Closes the connection and continues at the next replica. If `refetches_list` is set, the complete list is
+    /// requested from it, otherwise the changes after the last line.
+    pub fn switch_replica(&mut self, refetches_list: bool) {
+        (self.open_response, self.current) = (None, (self.current + 1) % self.endpoints.len());
+        if refetches_list {
             self.revision = None;
         }
     }
 
-    /// The replica that is watched.
+    /// The address of the replica that is watched.
     pub fn endpoint(&self) -> SocketAddr {
-        self.endpoints[self.at]
+        self.endpoints[self.current]
     }
 
-    /// The next line. It waits for as long as no replica has one.
-    pub async fn next(&mut self) -> Value {
+    /// Waits for the next line, and retries until a replica sends it.
+    pub async fn next_line(&mut self) -> Value {
         loop {
-            match self.line().await {
+            match self.read_line().await {
                 Ok(line) => {
-                    let had = self.revision.unwrap_or(0);
-                    let Some(revision) = line["revision"].as_u64().filter(|&revision| revision >= had) else {
-                        tracing::warn!(at = %self.endpoint(), had, "a line that goes back: passed by");
-                        self.move_on(true);
+                    let known = self.revision.unwrap_or(0);
+                    let Some(revision) = line["revision"].as_u64().filter(|&revision| revision >= known)
+                    else {
+                        tracing::warn!(
+                            at = %self.endpoint(), had = known,
+                            "replica sent a line without a revision or of an older one; requesting the list of another"
+                        );
+                        self.switch_replica(true);
                         continue;
                     };
-                    (self.revision, self.pause) = (Some(revision), FIRST_PAUSE);
+                    (self.revision, self.backoff) = (Some(revision), INITIAL_BACKOFF);
                     return line;
                 }
                 Err(reason) => {
-                    tracing::debug!(at = %self.endpoint(), reason, "watch ended");
-                    self.move_on(false);
-                    sleep(self.pause / 2 + self.pause.mul_f64(fastrand::f64() / 2.0)).await;
-                    self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+                    tracing::debug!(at = %self.endpoint(), reason, "watch ended; continuing at another replica");
+                    self.switch_replica(false);
+                    sleep(self.backoff / 2 + self.backoff.mul_f64(fastrand::f64() / 2.0)).await;
+                    self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
     }
 
-    async fn line(&mut self) -> Result<Value, String> {
+    /// Reads one line that is not empty, and opens the watch first if it is not open.
+    async fn read_line(&mut self) -> Result<Value, String> {
         let text = |error: reqwest::Error| error.to_string();
-        let (mut response, mut buffer) = match self.open.take() {
-            Some(open) => open,
+        let (mut response, mut buffer) = match self.open_response.take() {
+            Some(open_response) => open_response,
             None => {
-                let from = self.revision.map_or(String::new(), |revision| format!("?index={revision}"));
-                let url = format!("http://{}/v1/watch{from}", self.endpoint());
-                let answer = timeout(SILENCE, self.http.get(url).send()).await.map_err(|_| "no answer")?;
-                let answer = answer.map_err(text)?;
-                if !answer.status().is_success() {
-                    return Err(format!("{}", answer.status()));
+                let query = self.revision.map_or(String::new(), |revision| format!("?index={revision}"));
+                let url = format!("http://{}/v1/watch{query}", self.endpoint());
+                let response = timeout(SILENCE_TIMEOUT, self.http.get(url).send())
+                    .await
+                    .map_err(|_| "no response in time")?;
+                let response = response.map_err(text)?;
+                if !response.status().is_success() {
+                    return Err(format!("{}", response.status()));
                 }
-                (answer, BytesMut::new())
+                (response, BytesMut::new())
             }
         };
         loop {
@@ -94,14 +111,15 @@
                     continue;
                 }
                 let value = serde_json::from_slice(&line).map_err(|error| error.to_string())?;
-                self.open = Some((response, buffer));
+                self.open_response = Some((response, buffer));
                 return Ok(value);
             }
-            if buffer.len() > LONGEST {
-                return Err(format!("a line of more than {LONGEST} bytes"));
+            if buffer.len() > MAX_LINE_BYTES {
+                return Err(format!("a line is longer than {MAX_LINE_BYTES} bytes"));
             }
-            let chunk = timeout(SILENCE, response.chunk()).await.map_err(|_| "silent")?.map_err(text)?;
-            buffer.extend_from_slice(&chunk.ok_or("it ended")?);
+            let chunk =
+                timeout(SILENCE_TIMEOUT, response.chunk()).await.map_err(|_| "silent")?.map_err(text)?;
+            buffer.extend_from_slice(&chunk.ok_or("the replica ended the response")?);
         }
     }
 }
--- a/crates/replica/src/api.rs
+++ b/crates/replica/src/api.rs
@@ -16,8 +16,8 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use crate::config::Config;
-use crate::feed::{target, Feed, Kind};
 use crate::raftloop::{Answer, Msg, View};
+use crate::watches::{target, Feed, Kind};
 
 /// The longest body of a command.
 const LONGEST: usize = 4 << 20;
--- a/crates/replica/src/config.rs
+++ b/crates/replica/src/config.rs
@@ -93,7 +93,7 @@
 
 impl Config {
     /// What is wrong with it, each with its key and what was expected.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validate(&self) -> Vec<String> {
         let mut faults: Vec<String> =
             self.state.validate().iter().map(|fault| format!("state.{fault}")).collect();
         let mut expect = |good: bool, what: String| faults.extend((!good).then_some(what));
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -12,11 +12,11 @@
 
 mod api;
 mod config;
-mod disk;
-mod feed;
-mod log;
+mod disk_writer;
+mod log_storage;
 mod peers;
 mod raftloop;
+mod watches;
 mod wire;
 
 pub use config::{Config, Peer};
@@ -34,7 +34,7 @@
 ///
 /// A configuration, a file or an address that can't be used; a disk that fails.
 pub async fn run(config: Config, ready: impl FnOnce(&str)) -> anyhow::Result<()> {
-    let faults = config.faults();
+    let faults = config.validate();
     anyhow::ensure!(faults.is_empty(), "{}", faults.join("\n"));
     std::fs::create_dir_all(&config.data).with_context(|| config.data.display().to_string())?;
     let file = config.data.join("replica.redb");
@@ -47,7 +47,7 @@
     let raft = listen(config.raft_listen).await?;
     ready(&format!("api={} raft={}", api.local_addr()?, raft.local_addr()?));
     let links = peers::Links::start(&config, raft, tx.clone());
-    let disk = disk::start(store, tx.clone(), config.queue)?;
+    let disk = disk_writer::start(store, tx.clone(), config.queue)?;
     let served = tokio::spawn(api::serve(api, tx.clone(), config.clone()));
     let ticks = tx.clone();
     let each = Duration::from_millis(config.tick_ms);
--- a/crates/replica/src/raftloop.rs
+++ b/crates/replica/src/raftloop.rs
@@ -12,10 +12,10 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::Config;
-use crate::disk::Job;
-use crate::feed::{Feed, Feeds, Kind};
-use crate::log::Log;
+use crate::disk_writer::Job;
+use crate::log_storage::Log;
 use crate::peers::Links;
+use crate::watches::{Feed, Feeds, Kind};
 use crate::wire;
 
 /// What the loop is told.
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -73,7 +73,7 @@
         let front = self.clone();
         spawn_local(async move {
             loop {
-                let line = watch.next().await;
+                let line = watch.next_line().await;
                 if !line["directives"].is_object() {
                     continue;
                 }
--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -411,7 +411,7 @@
         member["phase"] = json!("terminating");
         let command = json!({"put": {"member": member}});
         let command = serde_json::from_value(command).context("a command")?;
-        let outcome = self.client.propose(&Client::request_id(), command, PATIENCE).await?;
+        let outcome = self.client.propose(&Client::generate_request_id(), command, PATIENCE).await?;
         let outcome = serde_json::to_value(&outcome)?;
         let revision =
             outcome["done"]["revision"].as_u64().with_context(|| format!("a change: {outcome}"))?;
--- a/crates/rig/tests/audit/scenarios.rs
+++ b/crates/rig/tests/audit/scenarios.rs
@@ -331,7 +331,7 @@
         site.nodes[5].discovery.set(Mode::SilentBack);
         let drain =
             serde_json::from_value(serde_json::json!({"set_phase": {"id": "s-2", "phase": "terminating"}}))?;
-        site.client.propose(&client::Client::request_id(), drain, rig::site::PATIENCE).await?;
+        site.client.propose(&client::Client::generate_request_id(), drain, rig::site::PATIENCE).await?;
         site.servers[2].set_draining(true);
         sleep(Duration::from_secs(4)).await;
         site.front.load_off();
--- a/crates/rig/tests/record.rs
+++ b/crates/rig/tests/record.rs
@@ -32,7 +32,7 @@
         let id = format!("w{writer}-{n}");
         let member = json!({"id": id, "role": "server", "pool": "app", "host_port": "127.0.0.1:9"});
         let command = json!({"put": {"member": member, "expect": "absent"}});
-        let request = Client::request_id();
+        let request = Client::generate_request_id();
         let start = std::time::Instant::now();
         let outcome = loop {
             let command = serde_json::from_value(command.clone())?;
@@ -54,7 +54,7 @@
 /// Keeps the list that a watch tells.
 async fn watch(mut watch: client::Watch, list: Rc<RefCell<(u64, BTreeMap<String, Value>)>>) {
     loop {
-        let line = watch.next().await;
+        let line = watch.next_line().await;
         let mut list = list.borrow_mut();
         if line["complete"] == true {
             list.1.clear();
