--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -1,4 +1,4 @@
-//! What an agent is told.
+//! The configuration of an agent.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,71 +10,77 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Where its node asks for the list, and its servers say what they saw.
+    /// The address where the node gets its list, and where nodes and servers send their reports.
     pub listen: SocketAddr,
-    /// The APIs of the registry's replicas.
-    pub registry: Vec<SocketAddr>,
-    /// The file of its list.
-    pub cache: PathBuf,
-    /// The pool whose servers the list names.
-    #[serde(default = "targets")]
-    pub targets: String,
-    /// The members on this machine. A node is registered once it has spoken: then its process is known.
+    /// The API addresses of the registry's replicas.
+    #[serde(rename = "registry")]
+    pub registry_endpoints: Vec<SocketAddr>,
+    /// The file in which the list is cached.
+    #[serde(rename = "cache")]
+    pub cache_file: PathBuf,
+    /// The pool whose servers are in the list.
+    #[serde(rename = "targets", default = "default_targets_pool")]
+    pub targets_pool: String,
+    /// The members on this machine. A server is registered at the start; a node with its first report, which says
+    /// which incarnation of its process runs.
     #[serde(default)]
     pub members: Vec<Member>,
-    /// How long its members may be silent.
-    #[serde(default = "lease_ms")]
+    /// How long the members' registrations last without a renewal.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How often it says that they are alive.
-    #[serde(default = "renew_ms")]
-    pub renew_ms: u64,
-    /// How often it passes on what it heard.
-    #[serde(default = "report_ms")]
-    pub report_ms: u64,
-    /// Where its host takes the order to drain and restart a node (POST with the node's name), where it does.
-    #[serde(default)]
-    pub host: Option<String>,
-    /// Messages that wait for the loop.
-    #[serde(default = "queue")]
-    pub queue: usize,
-    /// Different sights that are kept while the registry is out of reach.
-    #[serde(default = "queue")]
-    pub sights: usize,
+    /// The interval at which the leases are renewed.
+    #[serde(rename = "renew_ms", default = "default_renew_interval_ms")]
+    pub renew_interval_ms: u64,
+    /// The interval at which reports are forwarded to the registry.
+    #[serde(rename = "report_ms", default = "default_report_interval_ms")]
+    pub report_interval_ms: u64,
+    /// The URL at which this machine's host takes requests to drain and restart a node: a POST with the node's name.
+    /// Without a URL, no node is restarted.
+    #[serde(rename = "host", default)]
+    pub restart_url: Option<String>,
+    /// How many messages can wait for the agent's event loop.
+    #[serde(rename = "queue", default = "default_capacity")]
+    pub queue_capacity: usize,
+    /// How many observations are kept while the registry is unreachable. One observation covers all attempts of one
+    /// node's incarnation on one revision at one server.
+    #[serde(rename = "sights", default = "default_capacity")]
+    pub max_observations: usize,
 }
 
-fn targets() -> String {
+fn default_targets_pool() -> String {
     "app".to_owned()
 }
 
-fn lease_ms() -> u64 {
+fn default_lease_ms() -> u64 {
     10_000
 }
 
-fn renew_ms() -> u64 {
+fn default_renew_interval_ms() -> u64 {
     2_500
 }
 
-fn report_ms() -> u64 {
+fn default_report_interval_ms() -> u64 {
     500
 }
 
-fn queue() -> usize {
+fn default_capacity() -> usize {
     1_024
 }
 
 impl Config {
-    /// What is wrong with it, each with its key and what was expected.
+    /// Returns one message for each invalid setting, with its key and the values that are allowed.
     pub fn validate(&self) -> Vec<String> {
         let mut faults: Vec<String> = Vec::new();
         for (n, member) in self.members.iter().enumerate() {
             faults.extend(member.validate().map(|fault| format!("members[{n}].{fault}")));
         }
-        let mut expect = |good: bool, what: &str| faults.extend((!good).then(|| what.to_owned()));
-        expect(!self.registry.is_empty(), "registry: expected one address or more, found none");
-        let renews = self.renew_ms > 0 && self.renew_ms.saturating_mul(2) <= self.lease_ms;
-        expect(renews, "renew_ms: expected more than 0 and at most half of lease_ms");
-        expect(self.report_ms > 0, "report_ms: expected more than 0");
-        expect(self.queue > 0 && self.sights > 0, "queue, sights: expected 1 or more");
+        let mut expect = |is_valid: bool, fault: &str| faults.extend((!is_valid).then(|| fault.to_owned()));
+        expect(!self.registry_endpoints.is_empty(), "registry: expected one address or more, found none");
+        let is_renewed_in_time =
+            self.renew_interval_ms > 0 && self.renew_interval_ms.saturating_mul(2) <= self.lease_ms;
+        expect(is_renewed_in_time, "renew_ms: expected more than 0 and at most half of lease_ms");
+        expect(self.report_interval_ms > 0, "report_ms: expected more than 0");
+        expect(self.queue_capacity > 0 && self.max_observations > 0, "queue, sights: expected 1 or more");
         faults
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,12 +1,16 @@
-//! One machine's agent, beside a node or an app server.
+//! The agent of a machine that runs a node or app servers.
 //!
-//! The guarantees:
+//! An agent keeps a copy of the server list and serves it to its node, reports to the registry's audit which
+//! revisions its nodes and servers acted on, keeps its members registered, and executes the audit's directives.
 //!
-//! 1. A node is told nothing older than it has: where the agent's own list is older, it waits for the registry.
-//! 2. What a node or a server says is passed on with a log time that surely lies before it, and is kept, merged and
-//!    bounded, while the registry is out of reach.
-//! 3. Without the registry the list that is on disk is served on.
-//! 4. Each step of the audit's ladder is carried out once.
+//! Guarantees:
+//!
+//! 1. A node is never sent an older revision than it has: if the agent's own list is older, the agent waits for the
+//!    registry.
+//! 2. The reports of nodes and servers are forwarded with a log time that is certain to be earlier than the report.
+//!    While the registry is unreachable they are kept, merged and bounded in size.
+//! 3. Without the registry, the agent continues to serve the list from its disk.
+//! 4. Each escalation step that the audit directs is executed once.
 
 mod api;
 mod config;
@@ -16,28 +20,28 @@
 mod service;
 
 pub use config::Config;
-pub use reports::{Acted, Seen, SeenAttempts};
+pub use reports::{NodeReport, ObservedAttempts, ServerReport};
 
 use anyhow::Context;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Runs an agent until it fails. `ready` is called with its address once it listens.
+/// Runs an agent until it fails. `ready` is called with the text `listen=ADDRESS` once the agent listens.
 ///
 /// # Errors
 ///
-/// A configuration or an address that can't be used.
+/// The configuration is invalid, the agent can't listen at its address, or its HTTP server fails.
 pub async fn run(config: Config, ready: impl FnOnce(&str)) -> anyhow::Result<()> {
     let faults = config.validate();
     anyhow::ensure!(faults.is_empty(), "{}", faults.join("\n"));
     let listener =
         TcpListener::bind(config.listen).await.with_context(|| format!("listen on {}", config.listen))?;
     ready(&format!("listen={}", listener.local_addr()?));
-    let (tx, rx) = mpsc::channel(config.queue);
-    let served = tokio::spawn(api::serve(listener, tx.clone()));
-    let service = service::Service::new(config, tx)?;
+    let (loop_tx, loop_rx) = mpsc::channel(config.queue_capacity);
+    let api = tokio::spawn(api::serve(listener, loop_tx.clone()));
+    let service = service::Service::new(config, loop_tx)?;
     tokio::select! {
-        () = service.run(rx) => Ok(()),
-        ended = served => Ok(ended.context("the API's task")??),
+        () = service.run(loop_rx) => Ok(()),
+        result = api => Ok(result.context("the API's task")??),
     }
 }
--- a/crates/agent/src/list.rs
+++ b/crates/agent/src/list.rs
@@ -1,36 +1,36 @@
-//! The list as the agent has it, and what a watch is told of it.
+//! The agent's copy of the server list, and the lines that its watches are sent.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// The list: members in the protocol's form, by id.
+/// The server list. The members are in the format of the discovery protocol, by id.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct ServerList {
     pub revision: u64,
     pub members: BTreeMap<String, Value>,
 }
 
-/// What came of a line.
+/// What a line of the registry's watch did to the list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Took {
+pub enum LineEffect {
     /// The list is as it was.
-    Nothing,
-    /// It changed: what to tell a watch that had the list before.
+    Unchanged,
+    /// The list changed. The value is the line for a watch that had the list as it was before.
     Changed(Value),
 }
 
-impl List {
-    /// Takes over a line of the registry's watch. One that is older than the list is passed over.
-    pub fn take(&mut self, line: &Value) -> Took {
-        let Some(revision) = line["revision"].as_u64() else { return Took::Nothing };
-        let complete = line["complete"].as_bool().unwrap_or(false);
-        if revision < self.revision || (revision == self.revision && !complete) {
-            return Took::Nothing;
+impl ServerList {
+    /// Applies a line of the registry's watch. A line that is older than the list is ignored.
+    pub fn apply_line(&mut self, line: &Value) -> LineEffect {
+        let Some(revision) = line["revision"].as_u64() else { return LineEffect::Unchanged };
+        let is_complete = line["complete"].as_bool().unwrap_or(false);
+        if revision < self.revision || (revision == self.revision && !is_complete) {
+            return LineEffect::Unchanged;
         }
         let members = line["members"].as_array().cloned().unwrap_or_default();
-        let before = complete.then(|| std::mem::take(&mut self.members));
+        let members_before = is_complete.then(|| std::mem::take(&mut self.members));
         for member in members {
             let Some(id) = member["id"].as_str().map(str::to_owned) else { continue };
             if member["phase"] == "terminated" {
@@ -39,22 +39,26 @@
                 self.members.insert(id, member);
             }
         }
-        let same = revision == self.revision && before.as_ref() == Some(&self.members);
+        let is_same = revision == self.revision && members_before.as_ref() == Some(&self.members);
         self.revision = revision;
-        if same {
-            return Took::Nothing;
+        if is_same {
+            return LineEffect::Unchanged;
         }
-        Took::Changed(if complete { self.whole() } else { line_of(revision, false, &line["members"]) })
+        LineEffect::Changed(if is_complete {
+            self.to_complete_line()
+        } else {
+            format_line(revision, false, &line["members"])
+        })
     }
 
-    /// The whole list as a line.
-    pub fn whole(&self) -> Value {
-        line_of(self.revision, true, &Value::Array(self.members.values().cloned().collect()))
+    /// The line with the complete list.
+    pub fn to_complete_line(&self) -> Value {
+        format_line(self.revision, true, &Value::Array(self.members.values().cloned().collect()))
     }
 }
 
-fn line_of(revision: u64, complete: bool, members: &Value) -> Value {
-    json!({"revision": revision, "complete": complete, "members": members})
+fn format_line(revision: u64, is_complete: bool, members: &Value) -> Value {
+    json!({"revision": revision, "complete": is_complete, "members": members})
 }
 
 #[cfg(test)]
@@ -66,19 +70,19 @@
     }
 
     #[test]
-    fn lines_change_the_list_and_an_older_one_does_not() {
-        let mut list = List::default();
-        let whole = json!({"revision": 5, "complete": true,
+    fn lines_change_the_list_and_an_older_line_does_not() {
+        let mut list = ServerList::default();
+        let complete = json!({"revision": 5, "complete": true,
             "members": [member("a", "in_service"), member("b", "in_service")]});
-        assert_eq!(list.take(&whole), Took::Changed(list.whole()));
-        assert_eq!(list.take(&whole), Took::Nothing);
+        assert_eq!(list.apply_line(&complete), LineEffect::Changed(list.to_complete_line()));
+        assert_eq!(list.apply_line(&complete), LineEffect::Unchanged);
         let change = json!({"revision": 7, "complete": false, "members": [member("a", "terminated")]});
-        assert_eq!(list.take(&change), Took::Changed(change.clone()));
+        assert_eq!(list.apply_line(&change), LineEffect::Changed(change.clone()));
         assert_eq!((list.revision, list.members.len()), (7, 1));
-        assert_eq!(list.take(&whole), Took::Nothing);
+        assert_eq!(list.apply_line(&complete), LineEffect::Unchanged);
         assert_eq!(list.revision, 7);
-        // A revision that changes nothing on the list is still one to act on.
+        // A new revision without changed members is passed on: nodes have to act on the newest revision.
         let empty = json!({"revision": 8, "complete": false, "members": []});
-        assert_eq!(list.take(&empty), Took::Changed(empty.clone()));
+        assert_eq!(list.apply_line(&empty), LineEffect::Changed(empty.clone()));
     }
 }
--- a/crates/agent/src/reports.rs
+++ b/crates/agent/src/reports.rs
@@ -1,121 +1,135 @@
-//! What nodes and servers say, merged until the registry has it.
+//! Reports of nodes and servers, merged in a buffer until they are forwarded to the registry.
+//!
+//! Log lines of this module have the target `agent::words`, which operators filter by.
 
 use std::collections::BTreeMap;
 
 use audit::{Event, Observation, Report, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What a node says.
+/// A node's report about itself.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Acted {
-    /// Its name.
+pub struct NodeReport {
+    /// The node's name.
     pub node: String,
-    /// Its process: each start has a greater one.
+    /// The incarnation of the node's process: each start has a greater one.
     pub incarnation: u64,
-    /// The version of its program.
+    /// The version of the node's program.
     #[serde(default)]
     pub program: String,
-    /// The version of its configuration.
+    /// The version of the node's configuration.
     #[serde(default)]
     pub config: String,
-    /// The revision that its next decision rests on.
-    pub standing: u64,
-    /// The oldest that a request in flight still rests on.
-    pub oldest: u64,
-    /// Decisions since the last word, by revision.
-    #[serde(default)]
-    pub decided: Vec<(u64, u64)>,
-    /// A list that it could not act on.
-    #[serde(default)]
-    pub refuses: Option<u64>,
-    /// The log time that the last answer told it.
-    #[serde(default)]
-    pub heard: u64,
+    /// The revision that the node's next decision will be based on.
+    #[serde(rename = "standing")]
+    pub current_revision: u64,
+    /// The oldest revision that a request in flight is based on; `current_revision` where there is none.
+    #[serde(rename = "oldest")]
+    pub oldest_in_flight: u64,
+    /// The number of decisions since the last report, by revision.
+    #[serde(rename = "decided", default)]
+    pub decisions: Vec<(u64, u64)>,
+    /// A revision of the list that the node received and could not act on.
+    #[serde(rename = "refuses", default)]
+    pub rejected_revision: Option<u64>,
+    /// The newest log time that the agent had sent to the node before the report.
+    #[serde(rename = "heard", default)]
+    pub agent_clock: u64,
 }
 
-/// What a server saw.
+/// A server's report on the attempts that it received.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Seen {
-    /// The server.
+pub struct ServerReport {
+    /// The server's id.
     pub server: String,
-    /// The log time that the last answer told it.
-    #[serde(default)]
-    pub heard: u64,
-    /// The attempts since the last word.
-    pub attempts: Vec<SeenAttempts>,
+    /// The newest log time that the agent had sent to the server before the report.
+    #[serde(rename = "heard", default)]
+    pub agent_clock: u64,
+    /// The attempts since the last report.
+    pub attempts: Vec<ObservedAttempts>,
 }
 
 /// Attempts of one node on one revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SeenAttempts {
-    /// The node that they name.
+pub struct ObservedAttempts {
+    /// The node that the attempts name.
     pub node: String,
-    /// Its process.
+    /// The incarnation of the node's process.
     pub incarnation: u64,
-    /// The revision.
+    /// The revision that the attempts were decided on.
     pub revision: u64,
-    /// How many.
+    /// How many attempts were received.
     pub count: u64,
-    /// Those that were turned away for being below the floor.
+    /// How many of them the server refused because their revision is below the floor.
     #[serde(default)]
     pub refused: u64,
-    /// A few that came while the server drained.
-    #[serde(default)]
-    pub drained: Vec<String>,
+    /// The ids of a few of the requests, where the server was already draining.
+    #[serde(rename = "drained", default)]
+    pub requests_after_drain: Vec<String>,
 }
 
-/// Decisions of one report that are kept by revision, and requests of one sight that are kept by name.
-const REVISIONS: usize = 64;
-const REQUESTS: usize = 16;
+/// How many revisions a merged report counts decisions of. Beyond it the counts of the lowest revisions are dropped.
+const MAX_REPORTED_REVISIONS: usize = 64;
+/// How many request ids a merged observation has.
+const MAX_REQUESTS_PER_OBSERVATION: usize = 16;
 
-/// What the registry is still to be told.
+/// What has been reported and is not yet forwarded to the registry.
 #[derive(Debug, Default)]
-pub struct Words {
-    reports: BTreeMap<String, Report>,
-    told: BTreeMap<String, (u64, u64)>,
-    sights: BTreeMap<(String, String, u64, u64), Observation>,
-    /// Sights that there was no room for.
-    dropped: u64,
+pub struct ReportBuffer {
+    /// The merged report of each node.
+    node_reports: BTreeMap<String, Report>,
+    /// For each node, the newest revision that was sent to it and the agent's own.
+    forwarded_revisions: BTreeMap<String, (u64, u64)>,
+    /// The merged observations, by server, node, incarnation and revision.
+    observations: BTreeMap<(String, String, u64, u64), Observation>,
+    /// How many observations there was no room for.
+    dropped_observations: u64,
 }
 
-impl Words {
-    pub fn acted(&mut self, acted: &Acted, unix_ms: u64) {
-        let at = Timestamp { not_before: acted.heard, unix_ms };
-        let old = self.reports.get(&acted.node).filter(|old| old.incarnation == acted.incarnation);
-        let mut decided: BTreeMap<u64, u64> =
-            old.iter().flat_map(|old| old.decisions.iter().copied()).collect();
-        for &(revision, count) in &acted.decided {
-            *decided.entry(revision).or_default() += count;
+impl ReportBuffer {
+    /// Merges a node's report with the earlier reports of the same incarnation.
+    pub fn add_node_report(&mut self, new: &NodeReport, unix_ms: u64) {
+        let at = Timestamp { not_before: new.agent_clock, unix_ms };
+        let earlier =
+            self.node_reports.get(&new.node).filter(|earlier| earlier.incarnation == new.incarnation);
+        let mut decisions: BTreeMap<u64, u64> =
+            earlier.iter().flat_map(|earlier| earlier.decisions.iter().copied()).collect();
+        for &(revision, count) in &new.decisions {
+            *decisions.entry(revision).or_default() += count;
         }
-        while decided.len() > REVISIONS {
-            decided.pop_first();
+        while decisions.len() > MAX_REPORTED_REVISIONS {
+            decisions.pop_first();
         }
-        let refuses = acted.refuses.or(old.and_then(|old| old.rejected_revision));
+        let rejected_revision =
+            new.rejected_revision.or(earlier.and_then(|earlier| earlier.rejected_revision));
         let report = Report {
-            node: acted.node.clone(),
-            incarnation: acted.incarnation,
-            current_revision: acted.standing,
-            oldest_in_flight: acted.oldest,
-            decisions: decided.into_iter().collect(),
-            rejected_revision: refuses,
+            node: new.node.clone(),
+            incarnation: new.incarnation,
+            current_revision: new.current_revision,
+            oldest_in_flight: new.oldest_in_flight,
+            decisions: decisions.into_iter().collect(),
+            rejected_revision,
             at,
         };
-        self.reports.insert(acted.node.clone(), report);
+        self.node_reports.insert(new.node.clone(), report);
     }
 
-    pub fn told(&mut self, node: &str, told: u64, held: u64) {
-        self.told.insert(node.to_owned(), (told, held));
+    /// Records how far the list has been forwarded to a node, and which revision the agent has.
+    pub fn record_forwarding(&mut self, node: &str, forwarded_revision: u64, agent_revision: u64) {
+        self.forwarded_revisions.insert(node.to_owned(), (forwarded_revision, agent_revision));
     }
 
-    pub fn seen(&mut self, seen: &Seen, unix_ms: u64, most: usize) {
-        let at = Timestamp { not_before: seen.heard, unix_ms };
-        for attempts in &seen.attempts {
-            let key = (seen.server.clone(), attempts.node.clone(), attempts.incarnation, attempts.revision);
-            if !self.sights.contains_key(&key) && self.sights.len() >= most {
-                self.dropped += 1;
+    /// Merges a server's report with its earlier ones. Attempts that would need one more than `max_observations`
+    /// observations are dropped and counted.
+    pub fn add_server_report(&mut self, report: &ServerReport, unix_ms: u64, max_observations: usize) {
+        let at = Timestamp { not_before: report.agent_clock, unix_ms };
+        for attempts in &report.attempts {
+            let key = (report.server.clone(), attempts.node.clone(), attempts.incarnation, attempts.revision);
+            if !self.observations.contains_key(&key) && self.observations.len() >= max_observations {
+                self.dropped_observations += 1;
                 continue;
             }
-            let sight = self.sights.entry(key).or_insert_with(|| Observation {
+            let observation = self.observations.entry(key).or_insert_with(|| Observation {
                 node: attempts.node.clone(),
                 incarnation: attempts.incarnation,
                 revision: attempts.revision,
@@ -125,39 +139,44 @@
                 first: at,
                 last: at,
             });
-            sight.count += attempts.count;
-            sight.refused += attempts.refused;
-            sight.last = at;
-            let room = REQUESTS.saturating_sub(sight.requests_after_drain.len());
-            sight.requests_after_drain.extend(attempts.drained.iter().take(room).cloned());
+            observation.count += attempts.count;
+            observation.refused += attempts.refused;
+            observation.last = at;
+            let room = MAX_REQUESTS_PER_OBSERVATION.saturating_sub(observation.requests_after_drain.len());
+            observation.requests_after_drain.extend(attempts.requests_after_drain.iter().take(room).cloned());
         }
     }
 
+    /// Whether there is nothing to forward.
     pub fn is_empty(&self) -> bool {
-        self.reports.is_empty() && self.told.is_empty() && self.sights.is_empty()
+        self.node_reports.is_empty() && self.forwarded_revisions.is_empty() && self.observations.is_empty()
     }
 
-    /// All of it as the audit's events.
-    pub fn take(&mut self) -> Vec<Event> {
-        if self.dropped > 0 {
-            tracing::warn!(target: "agent::words", sights = self.dropped, "there was no room for some of what servers saw");
-            self.dropped = 0;
+    /// Empties the buffer into events for the audit.
+    pub fn take_events(&mut self) -> Vec<Event> {
+        if self.dropped_observations > 0 {
+            tracing::warn!(
+                target: "agent::words",
+                sights = self.dropped_observations,
+                "the report buffer was full; dropped observations of servers"
+            );
+            self.dropped_observations = 0;
         }
-        let told = std::mem::take(&mut self.told).into_iter();
-        let mut events: Vec<Event> = told
-            .map(|(node, (told, held))| Event::ListForwarded {
+        let forwarded = std::mem::take(&mut self.forwarded_revisions).into_iter();
+        let mut events: Vec<Event> = forwarded
+            .map(|(node, (forwarded_revision, agent_revision))| Event::ListForwarded {
                 node,
-                forwarded_revision: told,
-                agent_revision: held,
+                forwarded_revision,
+                agent_revision,
             })
             .collect();
-        events.extend(std::mem::take(&mut self.reports).into_values().map(Event::Reported));
+        events.extend(std::mem::take(&mut self.node_reports).into_values().map(Event::Reported));
         let mut servers: BTreeMap<String, Vec<Observation>> = BTreeMap::new();
-        for ((server, ..), sight) in std::mem::take(&mut self.sights) {
-            servers.entry(server).or_default().push(sight);
+        for ((server, ..), observation) in std::mem::take(&mut self.observations) {
+            servers.entry(server).or_default().push(observation);
         }
         events.extend(
-            servers.into_iter().map(|(server, sights)| Event::Observed { server, observations: sights }),
+            servers.into_iter().map(|(server, observations)| Event::Observed { server, observations }),
         );
         events
     }
@@ -168,45 +187,50 @@
     use super::*;
 
     #[test]
-    fn words_are_merged_and_bounded() {
-        let mut words = Words::default();
-        let mut acted = Acted {
+    fn reports_are_merged_and_bounded() {
+        let mut buffer = ReportBuffer::default();
+        let mut node_report = NodeReport {
             node: "n".into(),
             incarnation: 1,
             program: String::new(),
             config: String::new(),
-            standing: 41,
-            oldest: 40,
-            decided: vec![(40, 2), (41, 1)],
-            refuses: Some(39),
-            heard: 10,
+            current_revision: 41,
+            oldest_in_flight: 40,
+            decisions: vec![(40, 2), (41, 1)],
+            rejected_revision: Some(39),
+            agent_clock: 10,
         };
-        words.acted(&acted, 1);
-        (acted.standing, acted.decided, acted.refuses, acted.heard) = (42, vec![(41, 4)], None, 20);
-        words.acted(&acted, 2);
-        let attempts = |revision| SeenAttempts {
+        buffer.add_node_report(&node_report, 1);
+        node_report.current_revision = 42;
+        node_report.decisions = vec![(41, 4)];
+        node_report.rejected_revision = None;
+        node_report.agent_clock = 20;
+        buffer.add_node_report(&node_report, 2);
+        let attempts = |revision| ObservedAttempts {
             node: "n".into(),
             incarnation: 1,
             revision,
             count: 2,
             refused: 1,
-            drained: vec!["r".into(); 20],
+            requests_after_drain: vec!["r".into(); 20],
         };
-        for heard in [10, 20] {
+        for agent_clock in [10, 20] {
             let attempts = (0..5).map(attempts).collect();
-            words.seen(&Seen { server: "s".into(), heard, attempts }, heard, 3);
+            let report = ServerReport { server: "s".into(), agent_clock, attempts };
+            buffer.add_server_report(&report, agent_clock, 3);
         }
-        let events = words.take();
-        assert!(words.is_empty());
+        let events = buffer.take_events();
+        assert!(buffer.is_empty());
         let Event::Reported(report) = &events[0] else { panic!("{events:?}") };
         assert_eq!(
             (report.current_revision, report.rejected_revision, report.at.not_before),
             (42, Some(39), 20)
         );
         assert_eq!(report.decisions, [(40, 2), (41, 5)]);
-        let Event::Observed { observations: sights, .. } = &events[1] else { panic!("{events:?}") };
-        assert_eq!(sights.len(), 3);
-        assert_eq!((sights[0].count, sights[0].refused, sights[0].requests_after_drain.len()), (4, 2, 16));
-        assert_eq!((sights[0].first.not_before, sights[0].last.not_before), (10, 20));
+        let Event::Observed { observations, .. } = &events[1] else { panic!("{events:?}") };
+        assert_eq!(observations.len(), 3);
+        let first = &observations[0];
+        assert_eq!((first.count, first.refused, first.requests_after_drain.len()), (4, 2, 16));
+        assert_eq!((first.first.not_before, first.last.not_before), (10, 20));
     }
 }
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -1,4 +1,5 @@
-//! The agent's loop: the registry's lines, the node's watches, what is passed on.
+//! The agent's event loop. It owns the agent's state and handles the lines of the registry's watch, the watches of
+//! nodes, the reports, and the timers; requests to the registry run in tasks that send their result back to the loop.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,312 +12,360 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::Config;
-use crate::list::{List, Took};
+use crate::list::{LineEffect, ServerList};
 use crate::list_cache;
-use crate::reports::{Acted, Seen, Words};
+use crate::reports::{NodeReport, ReportBuffer, ServerReport};
 
-/// A node is owed an empty line every 2 s.
-const BEAT: Duration = Duration::from_millis(1_900);
-/// How often the loop looks at what is due.
-const LOOK: Duration = Duration::from_millis(50);
-/// Lines that wait for one watch, and watches.
-pub const LINES: usize = 64;
-const WATCHES: usize = 64;
+/// How long a watch of the node may be silent before it is sent an empty line. A node expects a line every 2 s.
+const WATCH_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_900);
+/// How often the loop checks for work that has become due.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How many lines can wait for one watch.
+pub const WATCH_QUEUE_LINES: usize = 64;
+/// How many watches can be open.
+const MAX_WATCHES: usize = 64;
+/// How long a batch of reports is tried in one go; it is retried in full afterwards.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long each command of a renewal is tried.
+const RENEWAL_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the host may take to accept a restart.
+const RESTART_TIMEOUT: Duration = Duration::from_secs(2);
 
-pub enum Msg {
+/// A message to the event loop.
+pub enum LoopMessage {
     /// A line of the registry's watch.
-    Line(Value),
-    /// A watch of the node's.
-    Watch {
+    RegistryLine(Value),
+    /// A node opens a watch.
+    OpenWatch {
+        /// The revision that the node has.
         index: u64,
-        tx: mpsc::Sender<Bytes>,
+        lines: mpsc::Sender<Bytes>,
+        /// Receives whether the watch is open.
         opened: oneshot::Sender<bool>,
     },
-    Whole(oneshot::Sender<Option<Value>>),
-    Acted(Acted, oneshot::Sender<Value>),
-    Seen(Seen, oneshot::Sender<Value>),
-    Directives(oneshot::Sender<Value>),
-    /// What was passed on has arrived, or not.
-    Passed(bool),
-    /// The members that the registry has as they are.
-    Renewed(Vec<Member>),
+    /// Asks for the complete list; the reply is `None` while there is none.
+    GetList(oneshot::Sender<Option<Value>>),
+    NodeReport(NodeReport, oneshot::Sender<Value>),
+    ServerReport(ServerReport, oneshot::Sender<Value>),
+    GetDirectives(oneshot::Sender<Value>),
+    /// The request with a batch of reports has ended; `true` if the batch need not be sent again.
+    BatchFinished(bool),
+    /// A renewal has ended; the members are those that the registry has in this form.
+    RenewalFinished(Vec<Member>),
 }
 
-/// How the registry's watch is to go on.
-enum Move {
-    On,
+/// A command to the task that reads the registry's watch.
+enum WatchCommand {
+    /// Continue at another replica and request the complete list.
+    Refetch,
 }
 
-struct Open {
-    sent: u64,
-    last: Instant,
-    tx: mpsc::Sender<Bytes>,
+/// An open watch of a node.
+struct NodeWatch {
+    /// The revision of the newest line that was queued for the node.
+    sent_revision: u64,
+    last_line_at: Instant,
+    lines: mpsc::Sender<Bytes>,
 }
 
+/// The agent's state.
 pub struct Service {
     config: Config,
     client: Arc<Client>,
-    list: List,
-    /// The newest log time that the registry told.
-    clock: u64,
+    list: ServerList,
+    /// The newest log time that the registry has sent.
+    registry_clock: u64,
+    /// The newest directives of the audit.
     directives: Value,
-    open: Vec<Open>,
-    /// The node's next watch begins with the whole list, whatever it has.
-    whole: bool,
-    words: Words,
-    /// What is under way to the registry, with its request id: asked again as it is until it has arrived.
-    passing: Option<(String, Vec<audit::Event>)>,
-    under_way: bool,
+    watches: Vec<NodeWatch>,
+    /// Whether the next watch that opens begins with the complete list, whatever revision the node has.
+    sends_complete_list_next: bool,
+    report_buffer: ReportBuffer,
+    /// The reports that are being sent to the registry, with their request id. They are sent again unchanged until
+    /// the registry has responded, so that they are applied once.
+    outgoing_batch: Option<(String, Vec<audit::Event>)>,
+    is_sending_batch: bool,
+    /// The members of this machine that are registered or are to be.
     members: Vec<Member>,
-    /// Those that the registry has not been told of as they are.
-    fresh: BTreeSet<String>,
-    renewing: bool,
-    passed: Instant,
-    renewed: Option<Instant>,
-    /// The step of the ladder that was carried out last, by node.
-    done: BTreeMap<String, (String, u64)>,
-    moves: mpsc::Sender<Move>,
-    tx: mpsc::Sender<Msg>,
-    /// The list has changed since it was last written.
-    dirty: bool,
+    /// The ids of the members that the registry may not have in their present form.
+    unconfirmed_members: BTreeSet<String>,
+    is_renewing: bool,
+    last_batch_at: Instant,
+    /// When the last renewal began; `None` if a renewal is due at once.
+    last_renewal_at: Option<Instant>,
+    /// For each node, the last escalation step that was executed and the log time of its directive.
+    executed_steps: BTreeMap<String, (String, u64)>,
+    watch_commands: mpsc::Sender<WatchCommand>,
+    loop_tx: mpsc::Sender<LoopMessage>,
+    /// Whether the list has changed since it was last written to disk.
+    is_cache_outdated: bool,
 }
 
 impl Service {
-    pub fn new(config: Config, tx: mpsc::Sender<Msg>) -> anyhow::Result<Service> {
-        let list = match list_cache::read(&config.cache) {
+    /// Creates the service with the list from the disk, and starts to watch the registry.
+    pub fn new(config: Config, loop_tx: mpsc::Sender<LoopMessage>) -> anyhow::Result<Service> {
+        let list = match list_cache::read(&config.cache_file) {
             Ok(list) => list.unwrap_or_default(),
             Err(error) => {
-                tracing::warn!(error = format!("{error:#}"), "starts without its list");
-                List::default()
+                tracing::warn!(
+                    error = format!("{error:#}"),
+                    "could not read the cached list; starting without it"
+                );
+                ServerList::default()
             }
         };
-        let client = Arc::new(Client::new(config.registry.clone())?);
-        let (moves, orders) = mpsc::channel(4);
+        let client = Arc::new(Client::new(config.registry_endpoints.clone())?);
+        let (watch_commands, commands_rx) = mpsc::channel(4);
         let from = Some(list.revision).filter(|&revision| revision > 0);
-        tokio::spawn(watch(client.watch(from), tx.clone(), orders));
+        tokio::spawn(watch_registry(client.watch(from), loop_tx.clone(), commands_rx));
         let members: Vec<Member> =
             config.members.iter().filter(|member| member.role == Role::Server).cloned().collect();
-        let fresh = members.iter().map(|member| member.id.clone()).collect();
+        let unconfirmed_members = members.iter().map(|member| member.id.clone()).collect();
         Ok(Service {
             client,
             list,
-            clock: 0,
+            registry_clock: 0,
             directives: json!({"floor": 0, "nodes": {}}),
-            open: Vec::new(),
-            whole: false,
-            words: Words::default(),
-            passing: None,
-            under_way: false,
+            watches: Vec::new(),
+            sends_complete_list_next: false,
+            report_buffer: ReportBuffer::default(),
+            outgoing_batch: None,
+            is_sending_batch: false,
             members,
-            fresh,
-            renewing: false,
-            passed: Instant::now(),
-            renewed: None,
-            done: BTreeMap::new(),
-            moves,
-            tx,
-            dirty: false,
+            unconfirmed_members,
+            is_renewing: false,
+            last_batch_at: Instant::now(),
+            last_renewal_at: None,
+            executed_steps: BTreeMap::new(),
+            watch_commands,
+            loop_tx,
+            is_cache_outdated: false,
             config,
         })
     }
 
-    pub async fn run(mut self, mut rx: mpsc::Receiver<Msg>) {
-        let mut timer = tokio::time::interval(LOOK);
+    /// Runs the event loop until all senders of messages are gone.
+    pub async fn run(mut self, mut loop_rx: mpsc::Receiver<LoopMessage>) {
+        let mut timer = tokio::time::interval(TICK_INTERVAL);
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         loop {
             tokio::select! {
-                msg = rx.recv() => match msg {
-                    Some(msg) => self.take(msg),
+                message = loop_rx.recv() => match message {
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                _ = timer.tick() => self.look(),
+                _ = timer.tick() => self.handle_tick(),
             }
         }
     }
 
-    fn take(&mut self, msg: Msg) {
-        match msg {
-            Msg::Line(line) => self.line(&line),
-            Msg::Watch { index, tx, opened } => {
-                self.open.retain(|open| !open.tx.is_closed());
-                let room = self.open.len() < WATCHES;
-                let _ = opened.send(room);
-                if room {
-                    let sent = if std::mem::take(&mut self.whole) { 0 } else { index };
-                    self.open.push(Open { sent, last: Instant::now(), tx });
-                    self.tell(None);
+    fn handle_message(&mut self, message: LoopMessage) {
+        match message {
+            LoopMessage::RegistryLine(line) => self.handle_registry_line(&line),
+            LoopMessage::OpenWatch { index, lines, opened } => {
+                self.watches.retain(|watch| !watch.lines.is_closed());
+                let has_room = self.watches.len() < MAX_WATCHES;
+                let _ = opened.send(has_room);
+                if has_room {
+                    let sent_revision =
+                        if std::mem::take(&mut self.sends_complete_list_next) { 0 } else { index };
+                    self.watches.push(NodeWatch { sent_revision, last_line_at: Instant::now(), lines });
+                    self.update_watches(None);
                 }
             }
-            Msg::Whole(reply) => drop(reply.send((self.list.revision > 0).then(|| self.list.whole()))),
-            Msg::Acted(acted, reply) => {
-                self.acted(&acted);
-                let directive = self.directives["nodes"][&acted.node].clone();
+            LoopMessage::GetList(reply) => {
+                drop(reply.send((self.list.revision > 0).then(|| self.list.to_complete_line())))
+            }
+            LoopMessage::NodeReport(report, reply) => {
+                self.handle_node_report(&report);
+                let directive = self.directives["nodes"][&report.node].clone();
                 let admission = directive["admission"].as_str().unwrap_or("full");
-                let answer =
-                    json!({"clock": self.clock, "floor": self.directives["floor"], "admission": admission});
-                let _ = reply.send(answer);
+                let response = json!({
+                    "clock": self.registry_clock, "floor": self.directives["floor"], "admission": admission,
+                });
+                let _ = reply.send(response);
             }
-            Msg::Seen(seen, reply) => {
-                self.words.seen(&seen, unix_ms(), self.config.sights);
-                let _ = reply.send(json!({"clock": self.clock, "floor": self.directives["floor"]}));
+            LoopMessage::ServerReport(report, reply) => {
+                self.report_buffer.add_server_report(&report, unix_ms(), self.config.max_observations);
+                let response = json!({"clock": self.registry_clock, "floor": self.directives["floor"]});
+                let _ = reply.send(response);
             }
-            Msg::Directives(reply) => {
-                let answer =
-                    json!({"clock": self.clock, "held": self.list.revision, "directives": self.directives});
-                let _ = reply.send(answer);
+            LoopMessage::GetDirectives(reply) => {
+                let response = json!({
+                    "clock": self.registry_clock, "held": self.list.revision, "directives": self.directives,
+                });
+                let _ = reply.send(response);
             }
-            Msg::Passed(arrived) => {
-                self.under_way = false;
-                if arrived {
-                    self.passing = None;
+            LoopMessage::BatchFinished(is_done) => {
+                self.is_sending_batch = false;
+                if is_done {
+                    self.outgoing_batch = None;
                 }
             }
-            Msg::Renewed(known) => {
-                self.renewing = false;
-                for member in known.iter().filter(|member| self.members.contains(member)) {
-                    self.fresh.remove(&member.id);
+            LoopMessage::RenewalFinished(confirmed) => {
+                self.is_renewing = false;
+                // A member that has changed since the renewal began stays unconfirmed.
+                for member in confirmed.iter().filter(|member| self.members.contains(member)) {
+                    self.unconfirmed_members.remove(&member.id);
                 }
             }
         }
     }
 
-    fn line(&mut self, line: &Value) {
-        self.clock = self.clock.max(line["clock"].as_u64().unwrap_or(0));
-        let before = self.list.revision;
-        if let Took::Changed(change) = self.list.take(line) {
-            self.dirty = true;
-            self.tell(Some((before, &change)));
-            let (told, held) = (self.told(), self.list.revision);
+    fn handle_registry_line(&mut self, line: &Value) {
+        self.registry_clock = self.registry_clock.max(line["clock"].as_u64().unwrap_or(0));
+        let revision_before = self.list.revision;
+        if let LineEffect::Changed(change) = self.list.apply_line(line) {
+            self.is_cache_outdated = true;
+            self.update_watches(Some((revision_before, &change)));
+            let (forwarded_revision, agent_revision) = (self.forwarded_revision(), self.list.revision);
             for node in self.config.members.iter().filter(|member| member.role == Role::Node) {
-                self.words.told(&node.id, told, held);
+                self.report_buffer.record_forwarding(&node.id, forwarded_revision, agent_revision);
             }
         }
         if line["directives"].is_object() {
             self.directives = line["directives"].clone();
-            self.obey();
+            self.execute_directives();
         }
     }
 
-    /// The newest revision that was written to the node.
-    fn told(&self) -> u64 {
-        self.open.iter().map(|open| open.sent).max().unwrap_or(0)
+    /// The newest revision that was sent to a watch of the node.
+    fn forwarded_revision(&self) -> u64 {
+        self.watches.iter().map(|watch| watch.sent_revision).max().unwrap_or(0)
     }
 
-    /// Tells the node's watches what they lack. One that has more than the agent waits.
-    fn tell(&mut self, change: Option<(u64, &Value)>) {
+    /// Sends the node's watches what they lack. A watch that has the agent's revision or a newer one is sent nothing.
+    /// `change` is the newest change of the list, with the revision that it applies to.
+    fn update_watches(&mut self, change: Option<(u64, &Value)>) {
         let (revision, list) = (self.list.revision, &self.list);
-        self.open.retain_mut(|open| {
-            if open.sent >= revision {
-                return !open.tx.is_closed();
+        self.watches.retain_mut(|watch| {
+            if watch.sent_revision >= revision {
+                return !watch.lines.is_closed();
             }
-            // The change is enough for one that had all before it.
-            let line = change.filter(|&(before, _)| before > 0 && open.sent == before);
-            let text = line.map_or_else(|| list.whole(), |(_, line)| line.clone());
-            (open.sent, open.last) = (revision, Instant::now());
-            open.tx.try_send(Bytes::from(format!("{text}\n"))).is_ok()
+            // A watch that had everything before the change needs only the change.
+            let line = change.filter(|&(before, _)| before > 0 && watch.sent_revision == before);
+            let text = line.map_or_else(|| list.to_complete_line(), |(_, line)| line.clone());
+            (watch.sent_revision, watch.last_line_at) = (revision, Instant::now());
+            watch.lines.try_send(Bytes::from(format!("{text}\n"))).is_ok()
         });
     }
 
-    fn acted(&mut self, acted: &Acted) {
-        self.words.acted(acted, unix_ms());
-        let Some(own) = self.config.members.iter().find(|member| member.id == acted.node) else { return };
+    /// Buffers the report of a node. If the node belongs to this machine and its process or version is new, has it
+    /// registered again at once.
+    fn handle_node_report(&mut self, report: &NodeReport) {
+        self.report_buffer.add_node_report(report, unix_ms());
+        let Some(configured) = self.config.members.iter().find(|member| member.id == report.node) else {
+            return;
+        };
         let member = Member {
-            incarnation: acted.incarnation,
-            program: acted.program.clone(),
-            config: acted.config.clone(),
-            ..own.clone()
+            incarnation: report.incarnation,
+            program: report.program.clone(),
+            config: report.config.clone(),
+            ..configured.clone()
         };
         if !self.members.contains(&member) {
             self.members.retain(|other| other.id != member.id);
-            self.fresh.insert(member.id.clone());
+            self.unconfirmed_members.insert(member.id.clone());
             self.members.push(member);
-            self.renewed = None;
+            self.last_renewal_at = None;
         }
     }
 
-    fn look(&mut self) {
-        self.open.retain_mut(|open| {
-            if open.last.elapsed() < BEAT {
-                return !open.tx.is_closed();
+    /// Sends heartbeats, writes the list to disk, sends the reports and renews the leases, each where it is due.
+    fn handle_tick(&mut self) {
+        self.watches.retain_mut(|watch| {
+            if watch.last_line_at.elapsed() < WATCH_HEARTBEAT_INTERVAL {
+                return !watch.lines.is_closed();
             }
-            open.last = Instant::now();
-            open.tx.try_send(Bytes::from_static(b"\n")).is_ok()
+            watch.last_line_at = Instant::now();
+            watch.lines.try_send(Bytes::from_static(b"\n")).is_ok()
         });
-        if std::mem::take(&mut self.dirty) {
-            let (file, list) = (self.config.cache.clone(), self.list.clone());
+        if std::mem::take(&mut self.is_cache_outdated) {
+            let (file, list) = (self.config.cache_file.clone(), self.list.clone());
             tokio::task::spawn_blocking(move || {
                 if let Err(error) = list_cache::write(&file, &list) {
-                    tracing::warn!(error = format!("{error:#}"), "the list is not on disk");
+                    tracing::warn!(error = format!("{error:#}"), "could not write the list to disk");
                 }
             });
         }
-        let due = self.passed.elapsed() >= Duration::from_millis(self.config.report_ms);
-        if due && !self.under_way {
-            self.pass_on();
+        let report_interval = Duration::from_millis(self.config.report_interval_ms);
+        if self.last_batch_at.elapsed() >= report_interval && !self.is_sending_batch {
+            self.send_batch();
         }
-        let renew = Duration::from_millis(self.config.renew_ms);
-        if !self.renewing && self.renewed.is_none_or(|at| at.elapsed() >= renew) && !self.members.is_empty() {
-            self.renew();
+        let renew_interval = Duration::from_millis(self.config.renew_interval_ms);
+        let is_renewal_due = self.last_renewal_at.is_none_or(|at| at.elapsed() >= renew_interval);
+        if !self.is_renewing && is_renewal_due && !self.members.is_empty() {
+            self.renew_members();
         }
     }
 
-    /// Passes on what was heard. What did not arrive is asked again under the same id: it may have.
-    fn pass_on(&mut self) {
-        self.passed = Instant::now();
-        if self.passing.is_none() && !self.words.is_empty() {
-            self.passing = Some((Client::generate_request_id(), self.words.take()));
+    /// Sends the buffered reports to the registry. A batch without a response is sent again under the same request
+    /// id, because it may have been applied.
+    fn send_batch(&mut self) {
+        self.last_batch_at = Instant::now();
+        if self.outgoing_batch.is_none() && !self.report_buffer.is_empty() {
+            self.outgoing_batch = Some((Client::generate_request_id(), self.report_buffer.take_events()));
         }
-        let Some((id, events)) = self.passing.clone() else { return };
-        self.under_way = true;
-        let (client, tx) = (self.client.clone(), self.tx.clone());
+        let Some((request_id, events)) = self.outgoing_batch.clone() else { return };
+        self.is_sending_batch = true;
+        let (client, loop_tx) = (self.client.clone(), self.loop_tx.clone());
         tokio::spawn(async move {
-            let said = client.propose(&id, Command::Audit(events), Duration::from_secs(3)).await;
-            if let Err(error) = &said {
-                tracing::debug!(%error, "what was heard is not passed on yet");
+            let result = client.propose(&request_id, Command::Audit(events), REPORT_TIMEOUT).await;
+            if let Err(error) = &result {
+                tracing::debug!(%error, "could not forward the reports to the registry");
             }
-            // What the registry can't read is not asked again.
-            let over = said.is_ok() || matches!(said, Err(client::Error::Rejected(_)));
-            let _ = tx.send(Msg::Passed(over)).await;
+            // A batch that the registry can't read is dropped: it would be rejected again.
+            let is_done = result.is_ok() || matches!(result, Err(client::Error::Rejected(_)));
+            let _ = loop_tx.send(LoopMessage::BatchFinished(is_done)).await;
         });
     }
 
-    /// Registers members that are new or have changed, and says of the others that they are alive: what an operator
-    /// has said of one since, as that it drains, stands.
-    fn renew(&mut self) {
-        (self.renewing, self.renewed) = (true, Some(Instant::now()));
-        let (client, tx, fresh) = (self.client.clone(), self.tx.clone(), self.fresh.clone());
+    /// Registers the members that are new or have changed, and renews the leases of the others. A renewal leaves the
+    /// registered data as it is, so that an operator's change to it, such as a drain, stays in force.
+    fn renew_members(&mut self) {
+        (self.is_renewing, self.last_renewal_at) = (true, Some(Instant::now()));
+        let (client, loop_tx) = (self.client.clone(), self.loop_tx.clone());
+        let unconfirmed_members = self.unconfirmed_members.clone();
         let (members, lease_ms) = (self.members.clone(), Some(self.config.lease_ms));
         tokio::spawn(async move {
-            let within = Duration::from_secs(2);
-            let (new, old): (Vec<Member>, Vec<Member>) =
-                members.into_iter().partition(|member| fresh.contains(&member.id));
-            let mut known = old.clone();
-            let ids: Vec<String> = old.iter().map(|member| member.id.clone()).collect();
-            let gone = match client.propose("", Command::Renew { ids }, within).await {
-                Ok(registry::Outcome::Conflict { .. }) => old,
+            let (unconfirmed, registered): (Vec<Member>, Vec<Member>) =
+                members.into_iter().partition(|member| unconfirmed_members.contains(&member.id));
+            let mut confirmed = registered.clone();
+            let ids: Vec<String> = registered.iter().map(|member| member.id.clone()).collect();
+            // A conflict says that the registry lacks at least one of the members; each that is absent is put again.
+            let maybe_absent = match client.propose("", Command::Renew { ids }, RENEWAL_TIMEOUT).await {
+                Ok(registry::Outcome::Conflict { .. }) => registered,
                 Ok(_) => Vec::new(),
                 Err(error) => {
-                    tracing::debug!(%error, "not renewed");
+                    tracing::debug!(%error, "could not renew the leases");
                     Vec::new()
                 }
             };
-            let puts = new.into_iter().map(|member| (member, Expect::Any));
-            for (member, expect) in puts.chain(gone.into_iter().map(|member| (member, Expect::Absent))) {
+            let puts = unconfirmed.into_iter().map(|member| (member, Expect::Any));
+            for (member, expect) in
+                puts.chain(maybe_absent.into_iter().map(|member| (member, Expect::Absent)))
+            {
                 let put = Command::Put { member: member.clone(), lease_ms, expect };
-                match client.propose("", put, within).await {
+                match client.propose("", put, RENEWAL_TIMEOUT).await {
                     Ok(registry::Outcome::Refused { reason }) => {
-                        tracing::warn!(member = member.id, why = reason, "not registered")
+                        tracing::warn!(
+                            member = member.id,
+                            why = reason,
+                            "the registry refused to register the member"
+                        )
+                    }
+                    Ok(_) => confirmed.push(member),
+                    Err(error) => {
+                        tracing::debug!(member = member.id, %error, "could not register the member; will retry")
                     }
-                    Ok(_) => known.push(member),
-                    Err(error) => tracing::debug!(member = member.id, %error, "not registered yet"),
                 }
             }
-            let _ = tx.send(Msg::Renewed(known)).await;
+            let _ = loop_tx.send(LoopMessage::RenewalFinished(confirmed)).await;
         });
     }
 
-    /// Carries out the ladder's steps for the nodes of this machine, each once.
-    fn obey(&mut self) {
+    /// Executes the audit's escalation steps for the nodes of this machine, each of them once.
+    fn execute_directives(&mut self) {
         let nodes: Vec<String> = self
             .config
             .members
@@ -326,50 +375,56 @@
             .collect();
         for node in nodes {
             let directive = &self.directives["nodes"][&node];
-            let (Some(step), Some(at)) = (directive["step"].as_str(), directive["step_at"].as_u64()) else {
+            let (Some(step), Some(since)) = (directive["step"].as_str(), directive["step_at"].as_u64())
+            else {
                 continue;
             };
-            let order = (step.to_owned(), at);
-            if self.done.get(&node) == Some(&order) {
+            let directed_step = (step.to_owned(), since);
+            if self.executed_steps.get(&node) == Some(&directed_step) {
                 continue;
             }
-            tracing::info!(node, step, "the audit asks");
+            tracing::info!(node, step, "executing a directive of the audit");
             match step {
-                "told_again" => drop(self.moves.try_send(Move::On)),
+                "told_again" => drop(self.watch_commands.try_send(WatchCommand::Refetch)),
                 "rewatched" => {
-                    let _ = self.moves.try_send(Move::On);
-                    // The node's watch too: it asks again, and gets the whole list whatever it has.
-                    self.whole = true;
-                    self.open.clear();
+                    let _ = self.watch_commands.try_send(WatchCommand::Refetch);
+                    // Closes the node's watch too. The node opens a new one, which begins with the complete list.
+                    self.sends_complete_list_next = true;
+                    self.watches.clear();
                 }
-                "restarted" => self.restart(&node),
+                "restarted" => self.request_restart(&node),
                 _ => {}
             }
-            self.done.insert(node, order);
+            self.executed_steps.insert(node, directed_step);
         }
     }
 
-    fn restart(&self, node: &str) {
-        let Some(host) = self.config.host.clone() else { return };
+    /// Requests the host to drain and restart a node, if a URL for that is configured.
+    fn request_restart(&self, node: &str) {
+        let Some(url) = self.config.restart_url.clone() else { return };
         let body = json!({"node": node});
         tokio::spawn(async move {
-            let call = reqwest::Client::new().post(&host).json(&body).timeout(Duration::from_secs(2)).send();
-            if let Err(error) = call.await.and_then(reqwest::Response::error_for_status) {
-                tracing::warn!(%host, %error, "the host did not take the order");
+            let request = reqwest::Client::new().post(&url).json(&body).timeout(RESTART_TIMEOUT).send();
+            if let Err(error) = request.await.and_then(reqwest::Response::error_for_status) {
+                tracing::warn!(host = %url, %error, "could not request the restart of the node");
             }
         });
     }
 }
 
-/// Hands on the lines of the registry's watch, and moves it at the loop's word.
-async fn watch(mut watch: client::Watch, tx: mpsc::Sender<Msg>, mut moves: mpsc::Receiver<Move>) {
+/// Passes the lines of the registry's watch to the event loop, and carries out the loop's commands.
+async fn watch_registry(
+    mut watch: client::Watch,
+    loop_tx: mpsc::Sender<LoopMessage>,
+    mut commands: mpsc::Receiver<WatchCommand>,
+) {
     loop {
         tokio::select! {
-            line = watch.next_line() => if tx.send(Msg::Line(line)).await.is_err() {
+            line = watch.next_line() => if loop_tx.send(LoopMessage::RegistryLine(line)).await.is_err() {
                 return;
             },
-            order = moves.recv() => match order {
-                Some(Move::On) => watch.switch_replica(true),
+            command = commands.recv() => match command {
+                Some(WatchCommand::Refetch) => watch.switch_replica(true),
                 None => return,
             },
         }
