--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The policy: every decision of a node. Its interface (settings, events, actions) is `src/api.rs`.
+//! The policy makes every decision of a node. Its interface (settings, events, actions) is `src/api.rs`.
 //!
 //! A request's key selects a slot of the Maglev table, and the slot's owner serves the request. If that
 //! server cannot take it, the owner of a following slot does: see `Balancer::choose_server`.
@@ -29,12 +29,19 @@
 
 /// Interval of the sweep, the periodic pass over the servers.
 const SWEEP_PERIOD_US: Micros = 100_000;
-/// In a group of more nodes, a node alone sees little of what all nodes do together.
+/// Largest number of nodes of a small group. In a larger one, a node sees only a small part of the traffic of
+/// all nodes.
 const SMALL_GROUP_MAX_NODES: u32 = 24;
 
+/// The mean answer time of a class starts at the aim of the class divided by this.
+const INITIAL_MEAN_AIM_DIVISOR: f64 = 4.0;
+
+const MICROS_PER_S: f64 = 1e6;
+const SWEEPS_PER_S: f64 = MICROS_PER_S / SWEEP_PERIOD_US as f64;
+
 const TIMER_SWEEP: TimerId = TimerId(1);
 const TIMER_SUBSCRIBE: TimerId = TimerId(2);
-/// The timer that ends a key's cooldown has this id plus the key.
+/// The id of the timer that ends the cooldown of a serial key is this number plus the key.
 const TIMER_COOLDOWN_BASE: u64 = 16;
 
 /// The policy of one node.
@@ -44,29 +51,37 @@
     rng: Rng,
     now: Micros,
     servers: Vec<Server>,
+    /// Index of each server in `servers`.
     server_index: HashMap<ServerId, usize>,
-    /// Owner of each slot, as a position in `servers`.
+    /// Owner of each slot, as an index into `servers`.
     table: Vec<u32>,
     is_table_stale: bool,
+    /// Total size of the servers in service.
     total_size: f64,
+    /// Attempts in flight to all servers.
     in_flight: u32,
     requests: HashMap<RequestId, PendingRequest>,
     serial_queues: BTreeMap<Key, SerialQueue>,
     class_stats: Vec<ClassStats>,
+    /// Decaying counts of the requests of each tenant.
     tenant_counts: Vec<f64>,
     key_counts: Vec<KeyCount>,
-    /// Seconds of traffic that the decaying counts hold.
+    /// Seconds of traffic that the decaying counts cover, except those of keys.
     window_s: f64,
     retry_tokens: f64,
     load: LoadEstimate,
     is_subscribed: bool,
+    /// Failed calls to discovery and broken subscriptions since the last complete list or delta.
     failed_syncs: u32,
 }
 
 impl Balancer {
     /// Creates a node's policy. `seed` feeds random choices only, nothing that nodes must agree on.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let stats = |class: &Class| ClassStats { mean_us: class.aim as f64 / 4.0, ..ClassStats::default() };
+        let initial_stats = |class: &Class| ClassStats {
+            mean_us: class.aim as f64 / INITIAL_MEAN_AIM_DIVISOR,
+            ..ClassStats::default()
+        };
         Balancer {
             is_large_group: settings.group_size > SMALL_GROUP_MAX_NODES,
             tenant_counts: vec![0.0; settings.tenants.len()],
@@ -80,7 +95,7 @@
             in_flight: 0,
             requests: HashMap::new(),
             serial_queues: BTreeMap::new(),
-            class_stats: settings.classes.iter().map(stats).collect(),
+            class_stats: settings.classes.iter().map(initial_stats).collect(),
             key_counts: Vec::new(),
             window_s: 1.0,
             retry_tokens: RETRY_TOKENS_MAX,
@@ -109,8 +124,13 @@
         }
     }
 
-    /// Draws half to one and a half times the span, so that nodes do not act in step.
+    /// Draws a time from half to one and a half times the span, so that nodes do not act in step.
     fn jitter(&mut self, span: Micros) -> Micros {
         span / 2 + self.rng.u64(0..=span)
     }
 }
+
+/// Converts an observation to a sample of a smoothed fraction: 1 for true, 0 for false.
+fn to_sample(is_observed: bool) -> f64 {
+    f64::from(u8::from(is_observed))
+}
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,30 +1,38 @@
-//! A request from its arrival to its single final answer. No attempt is sent after that answer.
+//! Handles a request from its arrival to its only final answer. No attempt is sent after that answer.
 
 use super::*;
 
-/// How long refused clients wait. Longer eases an overload and costs those who could be served sooner.
+/// How long refused clients are told to wait. A longer wait eases an overload and delays clients that could
+/// be served sooner.
 const BACKOFF_US: Micros = 20_000;
+/// If a late answer earns nothing, a request may wait for its aim less the aim divided by this.
+const AIM_MARGIN_DIVISOR: Micros = 32;
 
+/// An attempt that was sent.
 pub(super) struct Attempt {
     pub(super) member: Member,
     pub(super) sent_at: Micros,
     pub(super) execution: Execution,
 }
 
+/// A request without a final answer, or one with attempts in flight after its final answer.
 pub(super) struct PendingRequest {
     pub(super) class: usize,
+    /// The slot from which on the owners are scanned for a server.
     pub(super) slot: usize,
     pub(super) key: Option<Key>,
     /// The key of a request whose class is serial by key.
     pub(super) serial_key: Option<Key>,
-    /// An answer earns its full worth until then.
-    pub(super) aim_until: Micros,
+    /// An answer up to this time earns the full worth of the request.
+    pub(super) full_worth_until: Micros,
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<Attempt>,
+    /// The request needs no final answer any more.
     pub(super) is_ended: bool,
 }
 
 impl Balancer {
+    /// Starts a new request: sends its first attempt, lets it wait for its serial key, or refuses it.
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
@@ -44,13 +52,14 @@
         let class = &self.settings.classes[request.class.0];
         let serial_key = request.key.filter(|_| class.is_serial_by_key);
         // If a late answer earns nothing, waiting for it only fills a server's queue.
-        let max_wait = if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / 32 };
+        let max_wait =
+            if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / AIM_MARGIN_DIVISOR };
         let pending = PendingRequest {
             class: request.class.0,
             slot,
             key: request.key,
             serial_key,
-            aim_until: self.now + class.aim.min(request.time_left),
+            full_worth_until: self.now + class.aim.min(request.time_left),
             deadline: self.now + request.time_left.min(max_wait),
             attempts: Vec::new(),
             is_ended: false,
@@ -60,25 +69,25 @@
             self.serial_queues.entry(key).or_default().requests.push_back(id);
         }
         if self.exceeds_listed_capacity(slot) || self.should_shed(request.class.0, slot, is_over_quota) {
-            self.reject(id, actions);
+            self.refuse_or_fail(id, actions);
         } else {
-            self.send_or_reject(id, actions);
+            self.send_if_possible(id, actions);
         }
     }
 
-    /// Sends an attempt, lets the request wait for its serial key, or gives the final answer.
-    pub(super) fn send_or_reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        match self.serial_wait(id) {
+    /// Sends an attempt if possible. If not, the request waits for its serial key, or is refused or failed.
+    pub(super) fn send_if_possible(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        match self.estimate_serial_wait(id) {
             Some(wait) if self.is_worth_waiting(&self.requests[&id], wait) => return,
-            Some(_) => return self.reject(id, actions),
+            Some(_) => return self.refuse_or_fail(id, actions),
             None => {}
         }
-        let target = if self.may_send(&self.requests[&id]) { self.choose_server(id) } else { None };
-        let Some(target) = target else { return self.reject(id, actions) };
+        let chosen = if self.may_send(&self.requests[&id]) { self.choose_server(id) } else { None };
+        let Some(index) = chosen else { return self.refuse_or_fail(id, actions) };
         let now = self.now;
-        let timeout = self.attempt_timeout(&self.requests[&id]);
+        let timeout = self.choose_attempt_timeout(&self.requests[&id]);
         let send_within = self.dedup_window_end(&self.requests[&id]).map(|end| end - now);
-        let server = &mut self.servers[target];
+        let server = &mut self.servers[index];
         if server.in_flight == 0 {
             server.silent_since = now;
         }
@@ -90,18 +99,24 @@
         self.load.attempts += 1.0;
         let member = server.member.clone();
         actions.push(Action::Send { id, server: member.server, timeout, send_within });
-        let pending = self.requests.get_mut(&id).expect("held");
+        let pending = self.requests.get_mut(&id).expect("the request is pending");
         pending.attempts.push(Attempt { member, sent_at: now, execution: Execution::InFlight });
     }
 
     /// Gives the final answer without a further attempt: a refusal if that is safe, else a failure.
-    fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn refuse_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if self.may_refuse(&self.requests[&id]) {
-            // Clients not told to wait come back at once, to no better place. Where a late answer earns
-            // nothing, a retry comes too late to be worth anything: the wait then is the whole deadline.
+            // A client that is not told to wait retries at once and meets the same load. If a late answer
+            // earns nothing, a retry comes too late to earn anything: its client waits the whole deadline,
+            // provided that clients respect so long a wait.
             let class = &self.settings.classes[self.requests[&id].class];
-            let is_moot = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
-            let wait = if is_moot { class.deadline } else { BACKOFF_US.min(self.settings.max_retry_after) };
+            let is_retry_worthless =
+                class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
+            let wait = if is_retry_worthless {
+                class.deadline
+            } else {
+                BACKOFF_US.min(self.settings.max_retry_after)
+            };
             let retry_after = if self.settings.sends_retry_after { wait } else { 0 };
             actions.push(Action::Refuse { id, retry_after });
         } else {
@@ -113,22 +128,27 @@
     /// Ends a request: no further attempt is sent, and those in flight are cancelled.
     pub(super) fn end_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let open = pending.attempts.iter().enumerate().filter(|(_, a)| a.execution == Execution::InFlight);
-        let open: Vec<u32> = open.map(|(n, _)| n as u32).collect();
+        let attempts = pending.attempts.iter().enumerate();
+        let in_flight = attempts.filter(|(_, attempt)| attempt.execution == Execution::InFlight);
+        let in_flight: Vec<u32> = in_flight.map(|(number, _)| number as u32).collect();
         if self.settings.can_cancel && !pending.is_ended {
-            actions.extend(open.iter().map(|&attempt| Action::Cancel { id, attempt }));
+            actions.extend(in_flight.iter().map(|&attempt| Action::Cancel { id, attempt }));
         }
         pending.is_ended = true;
         let serial_key = pending.serial_key;
-        if open.is_empty() {
+        if in_flight.is_empty() {
             self.requests.remove(&id);
             if let Some(queue) = serial_key.and_then(|key| self.serial_queues.get_mut(&key)) {
                 queue.requests.retain(|&queued| queued != id);
             }
-            serial_key.into_iter().for_each(|key| self.advance_serial_queue(key, actions));
+            if let Some(key) = serial_key {
+                self.advance_serial_queue(key, actions);
+            }
         }
     }
 
+    /// Records the outcome of an attempt, then ends the request, sends another attempt, or refuses or fails
+    /// the request.
     pub(super) fn on_attempt_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { id, server, outcome, .. } = end;
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -149,14 +169,17 @@
         if is_ended || end.is_request_done || outcome == Outcome::Ok {
             self.end_request(id, actions);
         } else if !has_in_flight {
-            // Resending what may have run or found a server full feeds an overload, so there is a budget.
-            let is_free = outcome == Outcome::ConnectFailed;
-            let is_allowed = is_free || self.retry_tokens >= 1.0;
-            self.retry_tokens -= f64::from(u8::from(is_allowed && !is_free));
+            // Resends add to an overload if the earlier attempt may have run or met a full server, so they
+            // cost a retry token. A resend after a failed connection costs none.
+            let costs_token = outcome != Outcome::ConnectFailed;
+            let is_allowed = !costs_token || self.retry_tokens >= 1.0;
+            if is_allowed && costs_token {
+                self.retry_tokens -= 1.0;
+            }
             if is_allowed && outcome != Outcome::Moot {
-                self.send_or_reject(id, actions);
+                self.send_if_possible(id, actions);
             } else {
-                self.reject(id, actions);
+                self.refuse_or_fail(id, actions);
             }
         }
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,16 +1,20 @@
-//! Decides whether a resend or a refusal is safe; no other file does.
+//! Decides whether a further attempt or a refusal is safe. No other file decides this.
 
 use super::*;
 
-/// Retry budget: tokens added per request, and the maximum. A resend costs one, unless no connection was
-/// made.
+/// Retry tokens that a request adds, and the most that a node holds. A further attempt of a request costs one
+/// token, unless the attempt before it made no connection.
 pub(super) const RETRY_TOKENS_PER_REQUEST: f64 = 0.2;
 pub(super) const RETRY_TOKENS_MAX: f64 = 20.0;
-/// An attempt times out at this multiple of its class's mean answer time. An earlier timeout repeats more
-/// work: a heavy request is heavy again on the next server, and a timeout need not stop the first attempt.
+/// An attempt that another one could follow times out at this multiple of its class's mean answer time. An
+/// earlier timeout repeats more work: a heavy request is heavy again on the next server, and a timeout need
+/// not stop the first attempt.
 const EARLY_TIMEOUT_MULTIPLE: f64 = 8.0;
+/// Servers are taken to drop repeats for the class's `ttl` less the `ttl` divided by this, which leaves time
+/// for the attempt to reach the server.
+const DEDUP_MARGIN_DIVISOR: Micros = 10;
 
-/// Whether an attempt ran.
+/// Whether an attempt has run on its server.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Execution {
     InFlight,
@@ -18,7 +22,7 @@
     MayHaveRun,
 }
 
-/// Derives from an attempt's outcome whether it ran. Resends and refusals go by this alone.
+/// Derives from an attempt's outcome whether it ran. Further attempts and refusals depend on this alone.
 pub(super) fn classify_outcome(outcome: Outcome, full_may_have_run: bool) -> Execution {
     match outcome {
         Outcome::ConnectFailed | Outcome::Moot => Execution::NeverRan,
@@ -28,7 +32,8 @@
 }
 
 impl Balancer {
-    /// Whether a server may get the next attempt: once a request may have run, one that drops its repeats.
+    /// Whether a server may get the next attempt of a request. Once a deduplicated request may have run, only
+    /// the servers that drop its repeats may.
     pub(super) fn is_in_dedup_scope(&self, pending: &PendingRequest, next: &Member) -> bool {
         let first = pending.attempts.iter().find(|a| a.execution != Execution::NeverRan);
         match (self.settings.classes[pending.class].semantics, first) {
@@ -55,14 +60,14 @@
         }
     }
 
-    /// End of the time in which servers drop repeats of a request that may have run, less a margin for the
-    /// way.
+    /// Latest time at which a repeat of a deduplicated request may be sent; `None` if no attempt of the
+    /// request may have run, or if its class is not deduplicated.
     pub(super) fn dedup_window_end(&self, pending: &PendingRequest) -> Option<Micros> {
         let Semantics::Deduplicated { ttl, .. } = self.settings.classes[pending.class].semantics else {
             return None;
         };
         let first = pending.attempts.iter().find(|a| a.execution != Execution::NeverRan)?;
-        Some(first.sent_at + ttl - ttl / 10)
+        Some(first.sent_at + ttl - ttl / DEDUP_MARGIN_DIVISOR)
     }
 
     /// Whether the client may repeat the request after a refusal without running it twice.
@@ -73,11 +78,12 @@
         }
     }
 
-    /// Timeout of the next attempt: the time left, or less if another attempt could follow.
-    pub(super) fn attempt_timeout(&self, pending: &PendingRequest) -> Micros {
+    /// Chooses the timeout of the next attempt: the time left, or less if another attempt could follow.
+    pub(super) fn choose_attempt_timeout(&self, pending: &PendingRequest) -> Micros {
         let left = pending.deadline.saturating_sub(self.now).max(1);
         let is_last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
-        // Resends inside a small cell would crowd the neighbours of a slow server.
+        // An early timeout would send the requests of a slow server to the few other servers of its cell and
+        // crowd them. An unsafe request may not be sent again at all after a timeout.
         let semantics = self.settings.classes[pending.class].semantics;
         let is_scope_narrow =
             matches!(semantics, Semantics::Unsafe | Semantics::Deduplicated { scope: DedupScope::Cell, .. });
@@ -85,7 +91,7 @@
             return left;
         }
         let early = (EARLY_TIMEOUT_MULTIPLE * self.class_stats[pending.class].mean_us) as Micros;
-        // A second attempt without time for its answer only wastes work.
+        // A further attempt that is not given as much time as this one only wastes work.
         if early * 2 > left {
             left
         } else {
