--- a/src/bin/woodgap/client_connection.rs
+++ b/src/bin/woodgap/client_connection.rs
@@ -39,7 +39,7 @@
 const EVICTABLE_IDLE: Duration = Duration::from_secs(2);
 /// ...or, before its first request, after this shorter time.
 const EVICTABLE_UNUSED: Duration = Duration::from_millis(500);
-/// Bytes that are kept of what arrives behind an open request. Clients normally send one request at a time.
+/// Most bytes that are kept of what arrives behind an open request. Clients normally send one request at a time.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 /// Longest time for which a connection is still read after its last response. Closing a socket with unread
 /// data sends a reset, which can discard a response that is still on its way.
@@ -86,7 +86,7 @@
     /// What arrived behind the open request.
     read_ahead: RefCell<BytesMut>,
     /// Whether more than `MAX_READ_AHEAD_BYTES` arrived behind the open request.
-    read_ahead_overflowed: Cell<bool>,
+    has_read_ahead_overflowed: Cell<bool>,
 }
 
 impl ClientConnection {
@@ -106,7 +106,7 @@
             request_completed: Notify::new(),
             framing: RefCell::new(Framing::default()),
             read_ahead: RefCell::default(),
-            read_ahead_overflowed: Cell::new(false),
+            has_read_ahead_overflowed: Cell::new(false),
         })
     }
 
@@ -158,7 +158,7 @@
 
     /// Whether bytes behind the open request were discarded, so that no further request can be read.
     pub fn has_read_ahead_overflowed(&self) -> bool {
-        self.read_ahead_overflowed.get()
+        self.has_read_ahead_overflowed.get()
     }
 
     /// Whether bytes have arrived that hyper has not read: a complete request may have arrived since the
@@ -237,8 +237,9 @@
                 Ok(0) => return,
                 Ok(count) => {
                     let mut read_ahead = self.read_ahead.borrow_mut();
-                    if self.read_ahead_overflowed.get() || read_ahead.len() + count > MAX_READ_AHEAD_BYTES {
-                        self.read_ahead_overflowed.set(true);
+                    if self.has_read_ahead_overflowed.get() || read_ahead.len() + count > MAX_READ_AHEAD_BYTES
+                    {
+                        self.has_read_ahead_overflowed.set(true);
                     } else {
                         read_ahead.extend_from_slice(&buffer[..count]);
                     }
--- a/src/bin/woodgap/client_connection/framing/tests.rs
+++ b/src/bin/woodgap/client_connection/framing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Parses requests on one connection. Each request is given as the parts that hyper read before it had the
-/// whole head. Returns for each whether it is chunked only.
+/// Parses requests on one connection, each given as the parts that hyper read before it had the whole head.
+/// Returns for each request whether chunked encoding is known to be its only framing.
 fn chunked_only(requests: &[&[&str]]) -> Vec<bool> {
     let mut framing = Framing::default();
     let parse = |parts: &&[&str]| {
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -41,11 +41,10 @@
 const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
 /// How long after SIGTERM idle connections stay open. New connections and requests arrive for up to 0.4 s.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
-/// After SIGTERM the platform lets the process run for the longest deadline of a class, but for no more than
-/// this time...
-const MAX_KILL_DELAY: Duration = Duration::from_secs(3);
-/// ...and for this time beyond that. Then it may kill the process, so requests that arrive after SIGTERM are
-/// answered by then.
+/// After SIGTERM the platform may kill the process once the longest deadline of a class, of which at most
+/// this time counts, and `KILL_GRACE` have passed. Requests that arrive after SIGTERM are answered by then.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// How long the platform waits beyond the longest deadline before it may kill the process.
 const KILL_GRACE: Duration = Duration::from_millis(650);
 /// How long a draining node goes on after its last connection closed, for connections in the listener's
 /// backlog.
@@ -56,10 +55,10 @@
 /// The `Retry-After` of a node without room for a further connection or request.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Above this part of the client sockets in use, a connection is closed after its first response...
-const CLOSE_AFTER_FIRST_ABOVE: f64 = 0.6;
+const CLOSE_AFTER_FIRST_RESPONSE_FRACTION: f64 = 0.6;
 /// ...and above this part after any response. Otherwise a crowd of clients that send one request and stay
 /// connected would keep others out until their connections may be evicted.
-const CLOSE_AFTER_ANY_ABOVE: f64 = 0.9;
+const CLOSE_AFTER_ANY_RESPONSE_FRACTION: f64 = 0.9;
 /// How often connections are checked for overdue requests.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long to wait for the socket of an evicted connection to close before trying again.
@@ -96,7 +95,8 @@
 }
 
 impl Clients {
-    /// `sockets` are the budgets for clients that are served and for those that are only refused.
+    /// Creates the state. `sockets` are the budgets for clients that are served and for those that are only
+    /// refused.
     pub fn new(
         settings: Settings,
         names: RequestNames,
@@ -134,8 +134,8 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    let (permits, refuse) = self.acquire_permits().await;
-                    spawn_local(self.clone().serve_connection(stream, permits, refuse));
+                    let (permits, is_refused) = self.acquire_permits().await;
+                    spawn_local(self.clone().serve_connection(stream, permits, is_refused));
                 }
                 Err(error) => {
                     // Without a free file descriptor, accept fails at once and the connection stays in the
@@ -182,13 +182,12 @@
     }
 
     /// Closes connections whose request takes too long to arrive and those that are idle for too long, until
-    /// the process ends. Silent and very slow clients would otherwise hold all client
-    /// sockets.
+    /// the process ends. Silent and very slow clients would otherwise hold all client sockets.
     async fn close_overdue_connections(self: Rc<Self>) {
         loop {
             sleep(OVERDUE_CHECK_INTERVAL).await;
             let connections = self.connections.borrow();
-            // Unread bytes may be all that a request still lacks: such a connection has until the next check.
+            // Unread bytes may complete the request, so a connection that has some is left until the next check.
             let overdue = connections
                 .values()
                 .filter(|connection| connection.is_overdue() && connection.can_close_without_loss());
@@ -199,19 +198,19 @@
         }
     }
 
-    /// Serves a connection until it ends. With `refuse` its first request is refused, and then the connection
+    /// Serves a connection until it ends. With `is_refused` its first request is refused, and then the connection
     /// is closed.
     async fn serve_connection(
         self: Rc<Self>,
         stream: TcpStream,
         permits: (SocketPermit, Option<SocketPermit>),
-        refuse: bool,
+        is_refused: bool,
     ) {
         // A connection accepted this late still gets one request answered: what was sent before the process
         // ends counts as accepted.
         let is_late = self.is_closing.get();
         let first_request_timeout =
-            if refuse || is_late { LAST_REQUEST_TIMEOUT } else { REQUEST_READ_TIMEOUT };
+            if is_refused || is_late { LAST_REQUEST_TIMEOUT } else { REQUEST_READ_TIMEOUT };
         let connection = ClientConnection::new(stream, first_request_timeout);
         let connection_id = self.next_connection_id.replace(self.next_connection_id.get() + 1);
         self.connections.borrow_mut().insert(connection_id, connection.clone());
@@ -220,14 +219,17 @@
             let (clients, state) = (clients.clone(), state.clone());
             async move {
                 let body_deadline = state.begin_request();
-                let (mut response, keep_alive) = if refuse {
+                let (mut response, keep_alive) = if is_refused {
                     (clients.refusal_response(Some(OVERLOAD_RETRY_AFTER)), false)
                 } else {
                     clients.handle_request(request, &state, body_deadline).await
                 };
-                let close_above =
-                    if state.is_first_request() { CLOSE_AFTER_FIRST_ABOVE } else { CLOSE_AFTER_ANY_ABOVE };
-                let is_crowded = clients.client_sockets.used_fraction() > close_above;
+                let close_above_fraction = if state.is_first_request() {
+                    CLOSE_AFTER_FIRST_RESPONSE_FRACTION
+                } else {
+                    CLOSE_AFTER_ANY_RESPONSE_FRACTION
+                };
+                let is_crowded = clients.client_sockets.used_fraction() > close_above_fraction;
                 // Only hyper knows where a chunked body ends, so the next request's first byte would not be
                 // known.
                 let must_close = state.has_read_ahead_overflowed()
@@ -240,7 +242,7 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        let client_disconnected = {
+        let has_client_disconnected = {
             let http = http1::Builder::new()
                 .header_read_timeout(None)
                 .max_buf_size(MAX_REQUEST_HEAD_BYTES)
@@ -269,7 +271,7 @@
                 http.as_mut().graceful_shutdown();
             }
         };
-        if !client_disconnected {
+        if !has_client_disconnected {
             connection.enter_phase(Phase::Closing);
             connection.linger().await;
         }
@@ -285,7 +287,7 @@
     pub async fn drain(&self) {
         let longest_us = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
         let longest = Duration::from_micros(longest_us);
-        self.drain_deadline.set(Some(Instant::now() + longest.min(MAX_KILL_DELAY) + KILL_GRACE));
+        self.drain_deadline.set(Some(Instant::now() + longest.min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE));
         sleep(IDLE_CLOSE_DELAY).await;
         self.is_closing.set(true);
         // On the other connections a request is open or has begun to arrive: they end with its response.
@@ -311,7 +313,7 @@
         let _ = timeout(longest + IDLE_CLOSE_DELAY, all_closed).await;
     }
 
-    /// Answers a request; tells also whether the connection may be kept open after the response.
+    /// Answers a request. The flag tells whether the connection may be kept open after the response.
     async fn handle_request(
         &self,
         request: Request<Incoming>,
--- a/src/bin/woodgap/cold.rs
+++ b/src/bin/woodgap/cold.rs
@@ -1,4 +1,5 @@
-//! Counts the requests that this node sent to cold servers, so that the sends of all nodes can be added up.
+//! Counts the requests that this node sent to cold servers, so that the sends of all nodes can be added up. A
+//! server is cold for the duration of its ramp, which begins when its process starts.
 //!
 //! With `RUST_LOG=woodgap::cold=debug` the node logs a line twice a second with its sends by server, start of the
 //! server's process and tenth of a second; `fircroft fleet` adds up the lines of all nodes. Without that filter
@@ -40,6 +41,7 @@
 }
 
 impl ColdSends {
+    /// Creates an empty record. The log filter at this time decides whether sends are recorded.
     pub fn new(ramp: Ramp) -> Self {
         let is_enabled = tracing::enabled!(target: "woodgap::cold", tracing::Level::DEBUG);
         ColdSends { ramp, is_enabled, sends: RefCell::default() }
@@ -62,7 +64,9 @@
         }
     }
 
-    /// Logs the sends recorded since the previous call. `total_size` is that of all servers in service.
+    /// Logs the sends recorded since the previous call. For each server the line has
+    /// `id@start/size,time=sends,...`, with times in Unix milliseconds. `total_size` is that of all servers in
+    /// service.
     pub fn log(&self, total_size: f64) {
         let sends = std::mem::take(&mut *self.sends.borrow_mut());
         if sends.is_empty() {
--- a/src/bin/woodgap/counts.rs
+++ b/src/bin/woodgap/counts.rs
@@ -21,9 +21,9 @@
     FailedUntried,
     /// Failed after an attempt.
     FailedTried,
-    /// Not answered by the deadline.
+    /// Not answered by the deadline, after something was written to a server.
     Late,
-    /// Left by the client before the response.
+    /// The client disconnected before the response.
     Disconnected,
     /// Attempts, by their [`Outcome`]. Probes are not among them.
     Ok,
@@ -98,10 +98,12 @@
 pub struct Counts([Cell<u64>; COUNTS.len()]);
 
 impl Counts {
+    /// Adds 1 to a count.
     pub fn increment(&self, count: Count) {
         self.add(count, 1);
     }
 
+    /// Adds a number to a count.
     pub fn add(&self, count: Count, increment: usize) {
         let cell = &self.0[count as usize];
         cell.set(cell.get() + increment as u64);
--- a/src/bin/woodgap/discovery/list_parser.rs
+++ b/src/bin/woodgap/discovery/list_parser.rs
@@ -26,15 +26,16 @@
 }
 
 impl ListParser {
+    /// Appends a chunk of the body.
     pub fn push(&mut self, chunk: &Bytes) {
         self.buffer.extend_from_slice(chunk);
     }
 
     /// The next complete item, or `None` if more bytes are needed.
     pub fn next(&mut self) -> Result<Option<Item>, WatchError> {
-        let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
-        let has_empty_line = self.buffer[..blank].contains(&b'\n');
-        self.buffer.advance(blank);
+        let blank_bytes = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+        let has_empty_line = self.buffer[..blank_bytes].contains(&b'\n');
+        self.buffer.advance(blank_bytes);
         if has_empty_line {
             return Ok(Some(Item::KeepAlive));
         }
--- a/src/bin/woodgap/discovery/mod.rs
+++ b/src/bin/woodgap/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Discovery: the list of servers and the watch on its changes.
 //!
-//! Guarantee: when a watch falls silent, breaks or is reset, the node knows the list of discovery's agent within
-//! [`watch_loop::SILENCE_TIMEOUT`] plus the time of the first try to open a new watch that the agent answers. The
-//! interval between tries is bounded by the drain time of the settings, however many of them get no answer.
+//! Guarantee: after a watch falls silent, breaks or is reset, the node has the agent's list within
+//! [`watch_loop::SILENCE_TIMEOUT`] plus the time that the first answered try to open a new watch takes. The interval
+//! between tries is bounded by the drain time of the settings, however many of them get no answer.
 
 mod list_parser;
 mod watch_loop;
@@ -47,6 +47,7 @@
     _connection: AbortOnDrop,
 }
 
+/// Opens a watch on the changes after a revision; revision 0 asks for the complete list.
 async fn open_watch(addr: SocketAddr, revision: u64) -> Result<HttpWatch, WatchError> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
--- a/src/bin/woodgap/discovery/watch_loop.rs
+++ b/src/bin/woodgap/discovery/watch_loop.rs
@@ -1,10 +1,10 @@
 //! Keeps a watch open: detects that it is broken and opens a new one.
 //!
-//! The time in which a node has to follow the list runs whether or not the agent answers. A change that a silent
-//! watch missed counts as known to the node 6 s after the watch fell silent. A change that discovery sends on its
-//! return counts as known at once, and the sends that it ends have to stop within the drain time of the settings.
-//! Therefore a watch counts as broken half a second after a line that was due, and tries to open a new one follow
-//! each other at an interval within the drain time. A new try does not wait for the end of earlier ones: a try that
+//! A node has to act on changes of the list in time, whether or not the agent answers. A change that a silent watch
+//! missed counts as known to the node 6 s after the watch fell silent. A change that discovery sends when it is back
+//! counts as known at once, and the sends that it forbids have to stop within the drain time of the settings.
+//! Therefore a watch counts as broken if a line is half a second overdue, and the tries to open a new watch start at
+//! an interval of half the drain time, within bounds. A new try does not wait for the end of earlier ones: a try that
 //! gets no answer costs one interval and not a time-out, and the first try that receives anything becomes the watch.
 //!
 //! This holds for an agent, which answers a single node. A service shared by all nodes serves calls one after the
@@ -30,13 +30,13 @@
 /// The most tries at an agent that are open at a time: the oldest one and the latest ones.
 const MAX_AGENT_TRIES: usize = 4;
 /// Bounds of the interval between the starts of two tries at an agent.
-const MIN_AGENT_INTERVAL: Duration = Duration::from_millis(50);
-const MAX_AGENT_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_AGENT_TRY_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_AGENT_TRY_INTERVAL: Duration = Duration::from_millis(500);
 /// The pause after a failed call to a shared service doubles from the first to the longest. Each pause is
 /// multiplied by a random factor from 0.5 to 1.5, so that nodes whose calls failed together don't call together
 /// again.
 const FIRST_SERVICE_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_SERVICE_PAUSE: Duration = Duration::from_secs(1);
+const MAX_SERVICE_PAUSE: Duration = Duration::from_secs(1);
 
 /// The kind of endpoint that serves the watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -68,7 +68,7 @@
 {
     // Half of the drain time leaves the other half for the answer and for reading it.
     let interval = match kind {
-        EndpointKind::Agent => (drain_time / 2).clamp(MIN_AGENT_INTERVAL, MAX_AGENT_INTERVAL),
+        EndpointKind::Agent => (drain_time / 2).clamp(MIN_AGENT_TRY_INTERVAL, MAX_AGENT_TRY_INTERVAL),
         EndpointKind::SharedService => FIRST_SERVICE_PAUSE,
     };
     let mut pacer = TryPacer { kind, interval, next_try_at: Instant::now() };
@@ -125,7 +125,7 @@
     fn record_failure(&mut self) {
         if self.kind == EndpointKind::SharedService {
             self.next_try_at = Instant::now() + self.interval.mul_f64(0.5 + fastrand::f64());
-            self.interval = (self.interval * 2).min(LONGEST_SERVICE_PAUSE);
+            self.interval = (self.interval * 2).min(MAX_SERVICE_PAUSE);
         }
     }
 
--- a/src/bin/woodgap/discovery/watch_loop/tests.rs
+++ b/src/bin/woodgap/discovery/watch_loop/tests.rs
@@ -128,8 +128,8 @@
     .await;
 }
 
-// A change that discovery sends on its return counts as known at once: tries have to follow each other at an interval
-// within the drain time.
+// A change that discovery sends when it is back counts as known at once: tries have to follow each other at an
+// interval within the drain time.
 #[tokio::test(start_paused = true)]
 async fn return_of_discovery_is_noticed_within_the_drain_time() {
     for (drain_time_ms, max_interval_ms) in [(1_500, 500), (500, 250), (10, 50)] {
@@ -232,8 +232,8 @@
 async fn shared_service_serves_many_nodes() {
     const NODES: usize = 40;
     const CALL_DURATION: Duration = Duration::from_millis(100);
-    type OutgoingRequest = (Instant, tokio::sync::oneshot::Sender<ChannelWatch>);
-    let (tx, mut queue) = unbounded_channel::<OutgoingRequest>();
+    type QueuedCall = (Instant, tokio::sync::oneshot::Sender<ChannelWatch>);
+    let (tx, mut queue) = unbounded_channel::<QueuedCall>();
     let calls = Rc::new(std::cell::Cell::new(0));
     let served_nodes = Rc::new(RefCell::new(std::collections::HashSet::new()));
     let run = async {
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -96,10 +96,11 @@
 /// An attempt that has not ended yet.
 struct RunningAttempt {
     server: ServerId,
+    /// When the attempt was started, which may be before its connection was open.
     sent_at: Instant,
     /// Dropping it ends the attempt and closes its connection.
     _task: AbortOnDrop,
-    /// Counts the attempt under the list revision it was decided on, if revisions are reported.
+    /// Counts the attempt under the list revision that its decision was based on, if revisions are reported.
     _revision_guard: Option<AttemptGuard>,
 }
 
@@ -138,7 +139,7 @@
     events: VecDeque<Event>,
     servers: Rc<Servers>,
     peers: Option<Rc<Peers>>,
-    /// The address of the endpoint that serves the watch.
+    /// The address of the agent or shared service that serves the watch.
     discovery: SocketAddr,
     discovery_mode: DiscoveryMode,
     max_attempts: usize,
@@ -168,6 +169,7 @@
 }
 
 impl Driver {
+    /// Creates the driver. `tx` is the sending side of the channel that [`Driver::run`] reads.
     pub fn new(
         config: &Config,
         servers: Rc<Servers>,
@@ -481,7 +483,8 @@
     }
 
     /// Starts an attempt. Reports it as [`Outcome::Moot`] instead if the request is finished, has had its last
-    /// attempt or is past its deadline. A `timeout` of 0 means the deadline of the request.
+    /// attempt or is past its deadline. A `timeout` of 0 means the deadline of the request. With `send_within` the
+    /// attempt ends unsent if it can't be written within this time.
     fn start_attempt(&mut self, id: u64, server: ServerId, timeout: Micros, send_within: Option<Micros>) {
         let now = Instant::now();
         let pending = self.pending.get_mut(&id);
--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -226,10 +226,10 @@
 async fn read_response(response: Response<Incoming>) -> Option<ExchangeResult> {
     let (head, mut incoming) = response.into_parts();
     let framings = [CONTENT_LENGTH, TRANSFER_ENCODING].map(|name| head.headers.contains_key(name));
-    let upgraded = head.status == StatusCode::SWITCHING_PROTOCOLS;
+    let is_upgrade = head.status == StatusCode::SWITCHING_PROTOCOLS;
     // With both framing headers the end of the body is ambiguous. A Content-Length above the limit is
     // rejected before any of the body is read.
-    if framings == [true, true] || upgraded || incoming.size_hint().lower() > MAX_BODY_BYTES as u64 {
+    if framings == [true, true] || is_upgrade || incoming.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return None;
     }
     // Without framing headers the body ends with the connection: an orderly close completes it, a reset is an
@@ -248,7 +248,7 @@
 }
 
 /// Builds the HTTP request for one attempt. `deadline` is the attempt's, which the server is told; `acted_on`
-/// is the header that names the revision of the server list behind the decision.
+/// is the value of [`ACTED_ON_HEADER`], which names the revision of the server list behind the decision.
 pub fn build_request(
     outgoing: &OutgoingRequest,
     addr: SocketAddr,
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -39,7 +39,7 @@
 /// Part of the sockets that clients may use. Open requests need as many sockets to servers, and clients keep
 /// idle connections too.
 const CLIENT_SOCKET_FRACTION: f64 = 0.6;
-/// Memory reckoned for one open request: twice its largest request and response body together, so that bodies
+/// Memory budgeted for one open request: twice its largest request and response body together, so that bodies
 /// take up at most half of the node's memory.
 const OPEN_REQUEST_BYTES: usize = 4 * exchange::MAX_BODY_BYTES;
 
@@ -58,7 +58,8 @@
     let sockets = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
     let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(sockets));
     let reporter = config.is_audited.then(|| RevisionReporter::new(&config.name));
-    let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
+    // Reports go to the address of discovery, where the node's agent listens.
+    let agent_addr = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
     let mut driver = Driver::new(&config, servers.clone(), peers.clone(), reporter.clone(), tx.clone());
     driver.start(&config.cached_list);
     let client_sockets = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
@@ -72,7 +73,7 @@
         tx.clone(),
     );
     if let Some(reporter) = reporter {
-        spawn_local(reporter.run(agent.clone()));
+        spawn_local(reporter.run(agent_addr.clone()));
     }
     if let Some(peers) = peers {
         let tx = tx.clone();
@@ -88,7 +89,7 @@
             match read_file(&config_path).and_then(|text| Ok(config::parse_discovery_address(&text)?)) {
                 Ok(addr) => {
                     info!(discovery = %addr, "configuration reloaded");
-                    agent.set(addr);
+                    agent_addr.set(addr);
                     let _ = tx.send(DriverMessage::DiscoveryMoved(addr));
                 }
                 Err(error) => warn!(%error, "configuration not reloaded; the old one stays in effect"),
--- a/src/bin/woodgap/revision_reporter.rs
+++ b/src/bin/woodgap/revision_reporter.rs
@@ -21,19 +21,19 @@
 
 use crate::guards::AbortOnDrop;
 
-/// The header of an attempt that has the form `node/incarnation/revision`.
+/// The header of each attempt that names the revision behind the decision, as `node/incarnation/revision`.
 pub const ACTED_ON_HEADER: &str = "x-acted-on";
 /// How long the node waits before each report to the agent.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// The longest time that a report may take, with the agent's response.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest body of an agent's response.
-const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+const MAX_AGENT_RESPONSE_BYTES: usize = 64 * 1024;
 /// The most revisions whose decisions are counted between two reports. Beyond it the counts of the lowest
 /// revisions are dropped.
 const MAX_REPORTED_REVISIONS: usize = 64;
 
-/// The revisions that the node acts on, and what the agent says of the node in return.
+/// The revisions that the node's decisions are based on, and the agent's last responses to the reports.
 pub struct RevisionReporter {
     node: String,
     /// Identifies this start of the node; greater with each start.
@@ -52,7 +52,7 @@
     false_revision: Cell<Option<u64>>,
 }
 
-/// Counts an attempt as running under the revision it was decided on, until dropped.
+/// Counts an attempt as running under the revision that its decision was based on, until dropped.
 pub struct AttemptGuard {
     reporter: Rc<RevisionReporter>,
     revision: u64,
@@ -104,12 +104,13 @@
         (AttemptGuard { reporter: self.clone(), revision }, HeaderValue::from_str(&text).ok())
     }
 
-    /// Reports to the agent for the life of the process. `agent` is its present address.
-    pub async fn run(self: Rc<Self>, agent: Rc<Cell<SocketAddr>>) {
+    /// Reports to the agent for the life of the process. `agent_addr` is the agent's present address.
+    pub async fn run(self: Rc<Self>, agent_addr: Rc<Cell<SocketAddr>>) {
         loop {
             sleep(REPORT_INTERVAL).await;
             let decisions = self.unreported_decisions.take();
-            match timeout(REPORT_TIMEOUT, post_report(agent.get(), &self.report(&decisions))).await {
+            match timeout(REPORT_TIMEOUT, post_report(agent_addr.get(), &self.build_report(&decisions))).await
+            {
                 Ok(Ok(response)) => {
                     let clock = response["clock"].as_u64().unwrap_or(0);
                     self.agent_clock.set(clock.max(self.agent_clock.get()));
@@ -138,12 +139,12 @@
     }
 
     /// The report as JSON, with these decisions by revision.
-    fn report(&self, decisions: &BTreeMap<u64, u64>) -> Value {
-        let standing = self.false_revision.get().unwrap_or(self.revision.get());
-        let oldest = self.running_attempts.borrow().keys().next().copied().unwrap_or(standing);
+    fn build_report(&self, decisions: &BTreeMap<u64, u64>) -> Value {
+        let revision = self.false_revision.get().unwrap_or(self.revision.get());
+        let oldest = self.running_attempts.borrow().keys().next().copied().unwrap_or(revision);
         json!({
             "node": self.node, "incarnation": self.incarnation, "program": env!("CARGO_PKG_VERSION"),
-            "standing": standing, "oldest": oldest.min(standing), "heard": self.agent_clock.get(),
+            "standing": revision, "oldest": oldest.min(revision), "heard": self.agent_clock.get(),
             "decided": decisions.iter().collect::<Vec<_>>(),
         })
     }
@@ -175,7 +176,7 @@
         .map_err(|error| text(&error))?;
     let response = sender.send_request(request).await.map_err(|error| text(&error))?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+    let body = Limited::new(response.into_body(), MAX_AGENT_RESPONSE_BYTES)
         .collect()
         .await
         .map_err(|error| error.to_string())?;
@@ -198,13 +199,13 @@
         assert!(text.starts_with("n3/") && text.ends_with("/41"), "{text}");
         reporter.set_revision(43);
         let (new, _) = reporter.begin_attempt();
-        let report = reporter.report(&reporter.unreported_decisions.take());
+        let report = reporter.build_report(&reporter.unreported_decisions.take());
         assert_eq!((&report["standing"], &report["oldest"]), (&json!(43), &json!(41)));
         assert_eq!(report["decided"], json!([[41, 1], [43, 1]]));
         drop(old);
-        assert_eq!(reporter.report(&BTreeMap::new())["oldest"], 43);
+        assert_eq!(reporter.build_report(&BTreeMap::new())["oldest"], 43);
         drop(new);
-        assert_eq!(reporter.report(&BTreeMap::new())["oldest"], 43);
+        assert_eq!(reporter.build_report(&BTreeMap::new())["oldest"], 43);
     }
 
     #[test]
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -28,7 +28,7 @@
 pub const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// The part of the servers' keep-alive time for which an idle connection is reused. A request that crosses
 /// the server's close on the wire ends as a reset, and an unsafe request can't be sent again after one.
-const REUSE_PART: f64 = 0.6;
+const KEEPALIVE_REUSE_FRACTION: f64 = 0.6;
 
 /// The result of an attempt or a probe.
 pub struct AttemptResult {
@@ -67,6 +67,7 @@
     settings: NodeSettings,
     /// The sockets that the node may open, to servers and to clients together.
     socket_budget: Rc<SocketBudget>,
+    /// The servers of the list that are not terminated.
     entries: RefCell<HashMap<ServerId, ServerEntry>>,
     /// The ids that discovery gives the servers, by the balancer's numbers for them.
     names: RefCell<HashMap<u32, String>>,
@@ -78,6 +79,7 @@
 }
 
 impl Servers {
+    /// Creates an empty list of servers whose connections take their sockets from the budget.
     pub fn new(settings: NodeSettings, socket_budget: Rc<SocketBudget>) -> Rc<Self> {
         Rc::new(Servers {
             socket_budget,
@@ -195,7 +197,7 @@
 
     /// Drops idle connections that their server has closed or that have been idle for too long to be reused.
     pub fn close_stale_idle(&self) {
-        let max_idle = self.settings.keepalive.mul_f64(REUSE_PART);
+        let max_idle = self.settings.keepalive.mul_f64(KEEPALIVE_REUSE_FRACTION);
         for entry in self.entries.borrow_mut().values_mut() {
             let before = entry.idle.len();
             entry.idle.retain(|connection| !connection.is_closed());
@@ -213,15 +215,15 @@
             .values_mut()
             .filter(|entry| !entry.idle.is_empty())
             .min_by_key(|entry| entry.idle[0].idle_since);
-        let found = oldest.map(|entry| drop(entry.idle.remove(0))).is_some();
-        self.counts.add(Count::IdleEvicted, usize::from(found));
-        found
+        let is_evicted = oldest.map(|entry| drop(entry.idle.remove(0))).is_some();
+        self.counts.add(Count::IdleEvicted, usize::from(is_evicted));
+        is_evicted
     }
 
     /// Takes the most recently used connection that has been idle for at least [`MIN_IDLE_BEFORE_REUSE`], is open
     /// and has received no bytes meanwhile.
     fn take_idle_connection(&self, server: ServerId) -> Option<ServerConnection> {
-        let max_idle = self.settings.keepalive.mul_f64(REUSE_PART);
+        let max_idle = self.settings.keepalive.mul_f64(KEEPALIVE_REUSE_FRACTION);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
         while let Some(index) =
@@ -237,7 +239,8 @@
         None
     }
 
-    /// Keeps a connection for the next attempt, unless its server restarted, moved, drains or has closed it.
+    /// Keeps a connection for the next attempt, unless its server has closed it, left the list, restarted, moved,
+    /// drains or lost its address to another server.
     fn keep_idle(&self, server: ServerId, mut connection: ServerConnection) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&server) else { return };
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -16,10 +16,10 @@
     Servers::new(settings, SocketBudget::new(sockets))
 }
 
-fn list_of_one(addr: SocketAddr, state: ServerState, complete: bool) -> ServerList {
+fn list_of_one(addr: SocketAddr, state: ServerState, is_complete: bool) -> ServerList {
     let (id, zone) = ("s-1".into(), "a".into());
     let entry = ListEntry { id, addr, zone, cell: 0, state, size: 1.0, up_since_ms: 0 };
-    ServerList { revision: None, is_complete: complete, entries: vec![entry] }
+    ServerList { revision: None, is_complete, entries: vec![entry] }
 }
 
 fn new_request() -> OutgoingRequest {
@@ -201,9 +201,10 @@
     })
 }
 
-// When the client leaves while the attempt waits for its connection, nothing is written and the connection is kept.
+// When the client disconnects while the attempt waits for its connection, nothing is written and the
+// connection is kept.
 #[tokio::test]
-async fn nothing_is_written_for_a_client_that_left_during_the_dial() {
+async fn nothing_is_written_for_a_client_that_disconnected_during_the_dial() {
     let run = async {
         let servers = new_servers(8);
         let (addr, queued, listener) = listen_with_full_backlog().await;
