--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// A balancer and the time that it is told.
+/// A balancer and the simulated time that is passed to it with each event.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
--- a/tests/node/disconnects.rs
+++ b/tests/node/disconnects.rs
@@ -48,8 +48,8 @@
     requests
 }
 
-// hyper checks for a close only while its own buffer is empty. With a byte of a further request in the
-// buffer, the node once kept an open request whose client had disconnected and retried it until its deadline.
+// hyper checks for a close only while its own buffer is empty. With a byte of a further request in the buffer, a
+// node that relied on hyper would keep the open request of a disconnected client and retry it until its deadline.
 #[test]
 fn a_close_behind_further_requests_is_noticed() {
     for how in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
--- a/tests/node/harness.rs
+++ b/tests/node/harness.rs
@@ -324,9 +324,9 @@
     }
 
     /// Sends bytes on a new connection and returns the response.
-    pub fn send_raw(&self, text: &[u8]) -> Message {
+    pub fn send_raw(&self, bytes: &[u8]) -> Message {
         let mut stream = self.connect();
-        stream.write_all(text).unwrap();
+        stream.write_all(bytes).unwrap();
         Message::read(&mut BufReader::new(stream)).expect("a response")
     }
 
@@ -362,7 +362,8 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    /// Runs `meanwhile` while the node is stopped by SIGSTOP, so that the node finds all its effects at once.
+    /// Runs `meanwhile` while the node is stopped by SIGSTOP, so that all effects of `meanwhile` reach the node at the
+    /// same moment.
     pub fn while_stopped<T>(&self, meanwhile: impl FnOnce() -> T) -> T {
         self.send_signal("-STOP");
         let stat = format!("/proc/{}/stat", self.node.id());
@@ -414,12 +415,12 @@
 /// A request for this key.
 pub fn request_bytes_with_key(key: &str, class: &str, id: &str, left_ms: u64) -> Vec<u8> {
     let method = if class == "look" { "GET" } else { "POST" };
-    let keyed = if class == "put" { "Idempotency-Key: 77\r\n" } else { "" };
+    let key_header = if class == "put" { "Idempotency-Key: 77\r\n" } else { "" };
     let body = if class == "look" { "" } else { "Content-Length: 5\r\n\r\nhello" };
     let end = if body.is_empty() { "\r\n" } else { body };
     format!(
         "{method} /api?key={key}&x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {id}\r\nX-Lane: {class}\r\n\
-        X-Org: acme\r\nX-Remaining-Ms: {left_ms}\r\n{keyed}{end}"
+        X-Org: acme\r\nX-Remaining-Ms: {left_ms}\r\n{key_header}{end}"
     )
     .into_bytes()
 }
--- a/tests/node/links.rs
+++ b/tests/node/links.rs
@@ -69,8 +69,8 @@
             stream
         })
         .collect();
-    let answer = harness.send_request("pay", "1");
-    assert_eq!((answer.status(), answer.header("connection")), (503, "close"));
+    let response = harness.send_request("pay", "1");
+    assert_eq!((response.status(), response.header("connection")), (503, "close"));
     harness.set_behavior(Behavior::Serve);
     drop(held);
     wait_until("served again", || harness.send_request("pay", "2").status() == 200);
@@ -147,9 +147,9 @@
     for n in 0..30 {
         let mut stream = BufReader::new(harness.connect());
         stream.get_mut().write_all(&request_bytes("pay", &format!("once{n}"), 60_000)).unwrap();
-        let answer = Message::read(&mut stream).unwrap();
-        assert_eq!(answer.status(), 200);
-        if answer.header("connection") == "close" {
+        let response = Message::read(&mut stream).unwrap();
+        assert_eq!(response.status(), 200);
+        if response.header("connection") == "close" {
             assert_eq!(stream.read(&mut [0]).unwrap(), 0);
         } else {
             kept.push(stream);
--- a/tests/node/resource_limits.rs
+++ b/tests/node/resource_limits.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// The node's peak memory so far, in kB.
-fn peak_kb(harness: &Harness) -> u64 {
+/// Reads the node's peak memory so far, in kB.
+fn read_peak_memory_kb(harness: &Harness) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", harness.node.id())).unwrap();
     let line =
         status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("VmHWM in the process status");
@@ -128,7 +128,7 @@
     }
     harness.set_behavior(Behavior::Serve);
     wait_until("served again", || harness.send_request("look", "after").status() == 200);
-    let peak = peak_kb(&harness);
+    let peak = read_peak_memory_kb(&harness);
     assert!(peak < limit_mb * 1024 / 2, "{peak} kB of {limit_mb} MB");
 }
 
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -38,8 +38,8 @@
     assert!(harness.node.wait().unwrap().success());
 }
 
-/// A connection that is idle after one response.
-fn idle_connection(harness: &Harness, id: &str) -> BufReader<std::net::TcpStream> {
+/// Opens a connection that is idle after one response.
+fn open_idle_connection(harness: &Harness, id: &str) -> BufReader<std::net::TcpStream> {
     let mut stream = BufReader::new(harness.connect());
     stream.get_mut().write_all(&request_bytes("look", id, 60_000)).unwrap();
     assert_eq!(Message::read(&mut stream).unwrap().status(), 200);
@@ -48,11 +48,11 @@
 
 // Clients send on any connection that is open, also while a draining node closes its idle connections. A
 // connection on which a request has begun to arrive is not idle, but hyper counts it as idle until the head
-// is complete, and once closed it in the middle of the request.
+// is complete, and would close it in the middle of the request.
 #[test]
 fn a_request_that_is_arriving_when_idle_connections_close_is_served() {
     let mut harness = Harness::new(1);
-    let (mut idle, mut busy) = (idle_connection(&harness, "1"), idle_connection(&harness, "2"));
+    let (mut idle, mut busy) = (open_idle_connection(&harness, "1"), open_idle_connection(&harness, "2"));
     let whole = request_bytes("pay", "3", 60_000);
     let (half, rest) = whole.split_at(40);
     harness.send_signal("-TERM");
@@ -64,11 +64,11 @@
     assert!(harness.node.wait().unwrap().success());
 }
 
-// Requests arrive at the moment at which idle connections close. They have arrived, so they are answered.
+// A request that has arrived must be answered, even if idle connections close at the same moment.
 #[test]
 fn requests_that_arrive_while_idle_connections_close_are_served() {
     let mut harness = Harness::new(1);
-    let mut idle: Vec<_> = (0..8).map(|n| idle_connection(&harness, &format!("r{n}"))).collect();
+    let mut idle: Vec<_> = (0..8).map(|n| open_idle_connection(&harness, &format!("r{n}"))).collect();
     let mut unused: Vec<_> = (0..8).map(|_| BufReader::new(harness.connect())).collect();
     let wait_for_log =
         |text: &str| wait_until(text, || harness.log_lines.try_iter().any(|line| line.contains(text)));
@@ -101,7 +101,7 @@
 fn the_last_response_is_not_lost_to_bytes_behind_its_request() {
     use std::io::Read;
     let mut harness = Harness::new(1);
-    let mut stream = idle_connection(&harness, "1").into_inner();
+    let mut stream = open_idle_connection(&harness, "1").into_inner();
     harness.set_behavior(Behavior::Hold);
     stream.write_all(&request_bytes("pay", "2", 60_000)).unwrap();
     wait_until("the request is forwarded", || {
--- a/tests/node/tenancy.rs
+++ b/tests/node/tenancy.rs
@@ -35,23 +35,29 @@
     let (first, second) =
         (Harness::new(2), Harness::with_settings(2, json!({"sockets": 128}), use_other_settings));
     for round in 0..3 {
-        let ask = |harness: &Harness, class, semantics, tenant| {
+        let status_of = |harness: &Harness, class, semantics, tenant| {
             let id = format!("{round}-{class}-{semantics}-{tenant}");
             harness.send_raw(&request_with(class, semantics, tenant, &id)).status()
         };
         // A class has the semantics of its own deployment, whatever another gives the same name.
         assert_eq!(
-            [ask(&first, "pay", "unsafe", "acme"), ask(&second, "pay", "unsafe", "bravo")],
+            [status_of(&first, "pay", "unsafe", "acme"), status_of(&second, "pay", "unsafe", "bravo")],
             [200, 400]
         );
-        assert_eq!([ask(&first, "pay", "safe", "acme"), ask(&second, "pay", "safe", "bravo")], [400, 200]);
         assert_eq!(
-            [ask(&first, "seal", "keyed", "acme"), ask(&second, "seal", "keyed", "bravo")],
+            [status_of(&first, "pay", "safe", "acme"), status_of(&second, "pay", "safe", "bravo")],
             [400, 200]
         );
-        assert_eq!([ask(&first, "put", "keyed", "acme"), ask(&second, "put", "keyed", "bravo")], [200, 400]);
         assert_eq!(
-            [ask(&first, "look", "safe", "bravo"), ask(&second, "look", "unsafe", "acme")],
+            [status_of(&first, "seal", "keyed", "acme"), status_of(&second, "seal", "keyed", "bravo")],
+            [400, 200]
+        );
+        assert_eq!(
+            [status_of(&first, "put", "keyed", "acme"), status_of(&second, "put", "keyed", "bravo")],
+            [200, 400]
+        );
+        assert_eq!(
+            [status_of(&first, "look", "safe", "bravo"), status_of(&second, "look", "unsafe", "acme")],
             [400, 400]
         );
     }
