--- a/crates/rig/src/programs.rs
+++ b/crates/rig/src/binaries.rs
@@ -8,7 +8,7 @@
 
 /// Where they lie.
 #[derive(Clone, Debug)]
-pub struct Programs {
+pub struct Binaries {
     /// `fircroft`.
     pub fircroft: PathBuf,
     /// The node as it is in service.
@@ -17,20 +17,20 @@
     pub faulty_node: PathBuf,
 }
 
-impl Programs {
+impl Binaries {
     /// Builds them, in the profile that this program was built in, or finds them built.
     ///
     /// # Errors
     ///
     /// What the build says.
-    pub fn build() -> anyhow::Result<Programs> {
-        static BUILT: OnceLock<Result<Programs, String>> = OnceLock::new();
+    pub fn build() -> anyhow::Result<Binaries> {
+        static BUILT: OnceLock<Result<Binaries, String>> = OnceLock::new();
         let built = BUILT.get_or_init(|| build().map_err(|error| format!("{error:#}")));
         built.clone().map_err(anyhow::Error::msg)
     }
 }
 
-fn build() -> anyhow::Result<Programs> {
+fn build() -> anyhow::Result<Binaries> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let own = std::env::current_exe().context("this program's place")?;
     // target/PROFILE/deps/test or target/PROFILE/program
@@ -63,7 +63,7 @@
     ])?;
     cargo(&["-p", "woodgap", "--bin", "woodgap", "--features", "faults", "--target-dir", &faulty_of])?;
     let profile = if release { "release" } else { "debug" };
-    Ok(Programs {
+    Ok(Binaries {
         fircroft: target.join(profile).join("fircroft"),
         node: target.join(profile).join("woodgap"),
         faulty_node: faulty.join(profile).join("woodgap"),
--- a/crates/rig/src/server.rs
+++ b/crates/rig/src/fake_server.rs
@@ -25,7 +25,7 @@
 
 /// A running stand-in; it ends with the runtime.
 #[derive(Clone)]
-pub struct Server {
+pub struct FakeServer {
     /// Its id.
     pub id: String,
     /// Where it listens.
@@ -63,13 +63,13 @@
     Some((node.to_owned(), process.parse().ok()?, revision.parse().ok()?))
 }
 
-impl Server {
+impl FakeServer {
     /// Starts one on a port of the system's choice.
     ///
     /// # Errors
     ///
     /// Where there is no socket.
-    pub async fn start(id: &str, events: Events) -> anyhow::Result<Server> {
+    pub async fn start(id: &str, events: Events) -> anyhow::Result<FakeServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("a server's socket")?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(Mutex::new(Inner::default()));
@@ -79,7 +79,7 @@
         tokio::spawn(
             async move { axum::serve(listener, Router::new().fallback(serve).with_state(shared)).await },
         );
-        Ok(Server { id: id.to_owned(), addr, inner })
+        Ok(FakeServer { id: id.to_owned(), addr, inner })
     }
 
     /// Its agent is here from now on.
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -9,12 +9,12 @@
 //! 3. Nothing is left behind: a process ends with the thread that started it, also where that is killed.
 //! 4. A fault that could not be put in force ends the run as void, and says so.
 
+pub mod binaries;
 pub mod capacity;
-pub mod check;
+pub mod checker;
 pub mod events;
-pub mod load;
+pub mod fake_server;
+pub mod load_generator;
 pub mod process;
-pub mod programs;
 pub mod relay;
-pub mod server;
 pub mod site;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load_generator.rs
@@ -21,7 +21,7 @@
 
 /// A front with its clients; it ends with the run.
 #[derive(Clone)]
-pub struct Front(Rc<Inner>);
+pub struct LoadGenerator(Rc<Inner>);
 
 struct Inner {
     http: reqwest::Client,
@@ -40,13 +40,13 @@
     part: f64,
 }
 
-impl Front {
+impl LoadGenerator {
     /// A front without nodes.
     ///
     /// # Errors
     ///
     /// Where the system gives no sockets.
-    pub fn new(events: Events, seed: u64) -> anyhow::Result<Front> {
+    pub fn new(events: Events, seed: u64) -> anyhow::Result<LoadGenerator> {
         let patience = Duration::from_millis(PATIENCE_MS + 500);
         let http = reqwest::Client::builder().no_proxy().timeout(patience).build()?;
         let inner = Inner {
@@ -58,7 +58,7 @@
             served: Cell::new(0),
             on: Cell::new(true),
         };
-        let front = Front(Rc::new(inner));
+        let front = LoadGenerator(Rc::new(inner));
         spawn_local(front.clone().ask_ready());
         Ok(front)
     }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{ensure, Context};
-use rig::check::{faults, Case};
+use rig::checker::{faults, Case};
 use rig::site::{audit_times, Plan, Site};
 use serde_json::Value;
 use tokio::time::{sleep, Instant};
@@ -107,7 +107,7 @@
 async fn play(seed: u64) -> anyhow::Result<()> {
     println!("building and starting 3 replicas, 12 nodes and 8 servers, each with its agent");
     let plan = Plan { faults: BTreeMap::from([(STUCK, "stuck")]), ..Plan::default() };
-    rig::programs::Programs::build()?;
+    rig::binaries::Binaries::build()?;
     let start = Instant::now();
     let mut site = Site::start(plan, seed).await?;
     let mut reader = Reader { next: 1, start };
--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -11,12 +11,12 @@
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
 
+use crate::binaries::Binaries;
 use crate::events::Events;
-use crate::load::Front;
+use crate::fake_server::FakeServer;
+use crate::load_generator::LoadGenerator;
 use crate::process::{Process, Program};
-use crate::programs::Programs;
 use crate::relay::Relay;
-use crate::server::Server;
 
 /// Longer than anything takes on a machine that works.
 pub const PATIENCE: Duration = Duration::from_secs(60);
@@ -72,7 +72,7 @@
     /// What happens.
     pub events: Events,
     /// The front.
-    pub front: Front,
+    pub front: LoadGenerator,
     /// The replicas, by their place; `None` while one is down.
     pub replicas: Vec<Option<Process>>,
     /// The machines of nodes, by the node's place.
@@ -82,7 +82,7 @@
     /// The machines of servers, by the server's place.
     pub server_machines: Vec<Machine>,
     /// The servers.
-    pub servers: Vec<Server>,
+    pub servers: Vec<FakeServer>,
     /// A client with links of its own.
     pub client: Client,
     /// The links between replicas: from, to.
@@ -92,7 +92,7 @@
     api_targets: Vec<Option<SocketAddr>>,
     all_api_links: Vec<(usize, Relay)>,
     node_relays: Vec<Relay>,
-    programs: Programs,
+    programs: Binaries,
     folder: tempfile::TempDir,
     changes: u64,
 }
@@ -115,10 +115,10 @@
     ///
     /// Where a process does not start, with its log.
     pub async fn start(plan: Plan, seed: u64) -> anyhow::Result<Site> {
-        let programs = Programs::build()?;
+        let programs = Binaries::build()?;
         let folder = tempfile::tempdir()?;
         let events = Events::create(&folder.path().join("events.jsonl"))?;
-        let front = Front::new(events.clone(), seed)?;
+        let front = LoadGenerator::new(events.clone(), seed)?;
         let mut apis = Vec::new();
         let mut raft_links = BTreeMap::new();
         for to in 0..plan.replicas {
@@ -228,7 +228,7 @@
     }
 
     /// The programs under test.
-    pub fn programs(&self) -> &Programs {
+    pub fn programs(&self) -> &Binaries {
         &self.programs
     }
 
@@ -287,7 +287,7 @@
 
     async fn add_server(&mut self, place: usize) -> anyhow::Result<()> {
         let id = format!("s-{place}");
-        let server = Server::start(&id, self.events.clone()).await?;
+        let server = FakeServer::start(&id, self.events.clone()).await?;
         let member = self.server_member(place, server.addr);
         let machine = self.machine(&id, member).await?;
         server.set_agent(machine.discovery.addr());
--- a/crates/rig/tests/audit/main.rs
+++ b/crates/rig/tests/audit/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
 
-use rig::check::{attempts_by, faults, Case};
+use rig::checker::{attempts_by, faults, Case};
 use rig::site::Site;
 use serde_json::Value;
 
