--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,8 +1,9 @@
 //! Benchmarks of the policy: a request with its outcome, a change of the list with the rebuild of the table,
-//! and a sweep, for fleets of several sizes, each compared with a floor that is measured in the same run.
+//! and a sweep, for fleets of several sizes. Each is compared with a floor, the least work that any
+//! implementation needs for the operation, which is measured in the same run.
 //!
-//! `cargo bench --bench core` prints criterion's figures, then the ratios to the floors. An argument selects the
-//! benchmarks whose name contains it; for ratios it must select the floors as well.
+//! `cargo bench --bench core` prints criterion's figures, then the ratios to the floors. An argument selects
+//! the benchmarks whose name contains it; for ratios it must select the floors as well.
 
 use std::hint::black_box;
 use std::path::{Path, PathBuf};
@@ -20,19 +21,27 @@
 const REQUESTS_PER_SWEEP: u64 = 100;
 /// Distinct keys: as many as a site of the largest size has.
 const KEY_COUNT: u64 = 5_700;
+/// Multipliers that turn successive numbers into pseudo-random server ids and keys.
+const SERVER_ID_MULTIPLIER: u32 = 2_654_435_761;
+const KEY_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Interval and timer of the policy's sweep.
+const SWEEP_PERIOD_US: Micros = 100_000;
+const TIMER_SWEEP: TimerId = TimerId(1);
 
-/// A node that has served some requests.
+/// A node, its simulated clock, and the actions that the last event led to.
 struct Node {
     balancer: Balancer,
     now: Micros,
     requests: u64,
     actions: Vec<Action>,
+    /// Number of servers on the list.
     servers: u32,
 }
 
+/// An entry of the server list.
 fn member(n: u32, state: ServerState) -> Member {
     Member {
-        server: ServerId(n.wrapping_mul(2_654_435_761)),
+        server: ServerId(n.wrapping_mul(SERVER_ID_MULTIPLIER)),
         zone: ZoneId(n % 2),
         cell: CellId(u64::from(n / 8)),
         state,
@@ -42,6 +51,7 @@
 }
 
 impl Node {
+    /// Creates a node of a group of `nodes` that has served some requests.
     fn new(servers: u32, nodes: u32) -> Node {
         let class = |aim, semantics| Class {
             aim,
@@ -93,7 +103,7 @@
         let mut bytes = [b'0'; 36];
         bytes[..8].copy_from_slice(&self.requests.to_le_bytes());
         let id = RequestId(bytes);
-        let random = self.requests.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
+        let random = self.requests.wrapping_mul(KEY_MULTIPLIER) >> 32;
         let key = random % if self.requests.is_multiple_of(2) { KEY_COUNT / 20 } else { KEY_COUNT };
         self.feed(Event::Request(Request {
             id,
@@ -120,8 +130,8 @@
     }
 
     fn run_sweep(&mut self) {
-        self.now += 100_000;
-        self.feed(Event::TimerExpired(TimerId(1)));
+        self.now += SWEEP_PERIOD_US;
+        self.feed(Event::TimerExpired(TIMER_SWEEP));
     }
 
     /// Takes a server out of service or back; the request that follows is the first to need the new table.
@@ -150,13 +160,15 @@
     elapsed
 }
 
+/// Measures the floors: a hash and a lookup for a request, a write per slot for a rebuild, and a read per
+/// server for a sweep.
 fn bench_floors(criterion: &mut Criterion) {
     let table: Vec<u32> = (0..TABLE_SLOTS as u32).collect();
     let mut group = criterion.benchmark_group("floor");
     group.bench_function("request", |b| {
         let mut key = 0u64;
         b.iter(|| {
-            key = key.wrapping_add(0x9E37_79B9_7F4A_7C15);
+            key = key.wrapping_add(KEY_MULTIPLIER);
             let hash = xxh3_64_with_seed(&black_box(key).to_le_bytes(), 1);
             black_box(table[(hash % TABLE_SLOTS as u64) as usize])
         });
@@ -229,7 +241,7 @@
 }
 
 fn main() {
-    // A directory without older results: benchmarks that do not run now are not printed.
+    // A new directory, so that the ratios leave out older results of benchmarks that do not run now.
     let results = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("core-{}", std::process::id()));
     let mut criterion = Criterion::default()
         .sample_size(20)
--- a/src/api.rs
+++ b/src/api.rs
@@ -83,7 +83,8 @@
     pub late_share: f64,
     /// Whether a request may run more than once.
     pub semantics: Semantics,
-    /// Requests of such classes that share a key run one at a time, in the order of their arrival.
+    /// The class is serial: requests that share a key run one at a time, in the order of their arrival, also
+    /// together with those of other serial classes.
     pub is_serial_by_key: bool,
 }
 
@@ -171,12 +172,12 @@
     pub cold_overload_multiple: f64,
     /// Longest time that a node may be without a subscription and without a request for one.
     pub max_unsubscribed_time: Micros,
-    /// No request of a serial class is sent for a key for this long after an attempt for that key that may
+    /// How long the serial classes send no further request of a key after an attempt for that key that may
     /// still be running.
     pub serial_key_cooldown: Micros,
     /// A server may answer [`Outcome::Full`] for an attempt that has run.
     pub full_may_have_run: bool,
-    /// Index of the fraction of the cores in use within a server's load report.
+    /// Index of the field of a server's load report that holds the fraction of its cores in use.
     pub utilization_index: Option<usize>,
 }
 
@@ -238,14 +239,14 @@
     pub started_at: Micros,
 }
 
-/// What a [`Event::Sync`] contains.
+/// What an [`Event::Sync`] contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncKind {
     /// The entries that changed.
     Delta,
     /// The complete list.
     Full,
-    /// The list that this node last had, which may be long out of date.
+    /// The list that this node last had, which may be out of date.
     Cached,
     /// Nothing: a call failed or the subscription broke. The known list stays in use.
     Failed,
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,8 +1,8 @@
 //! Replays a recorded stream of events through the simulator adapter and compares the returned actions: a
 //! refactoring that changes no decision returns exactly the same actions.
 //!
-//! After an intended change of decisions, `cargo test --test recorded -- --ignored` records the stream anew, from
-//! a small simulated fleet with a fixed seed; the commit says why.
+//! After an intended change of decisions, `cargo test --test recorded -- --ignored` records the stream anew,
+//! from a small simulated fleet with a fixed seed; the commit says why.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
@@ -15,7 +15,7 @@
 /// Prefix of the lines that the adapter answered; all other lines are its input.
 const ANSWER_PREFIX: &str = "= ";
 
-/// A running simulator adapter.
+/// The simulator adapter, as a child process.
 struct Adapter {
     child: Child,
     input: ChildStdin,
@@ -64,7 +64,7 @@
     let text = std::fs::read_to_string(RECORDING_PATH).unwrap();
     let mut adapter = Adapter::start();
     let (mut batch, mut answers) = (String::new(), Vec::new().into_iter());
-    let mut counts = BTreeMap::new();
+    let mut action_counts = BTreeMap::new();
     for (index, line) in text.lines().enumerate() {
         let Some(expected) = line.strip_prefix(ANSWER_PREFIX) else {
             assert_eq!(answers.next(), None::<String>, "line {}: more was answered than recorded", index + 1);
@@ -77,10 +77,10 @@
             continue;
         };
         assert_eq!(answers.next().as_deref(), Some(expected), "line {} of the recorded stream", index + 1);
-        *counts.entry(expected.split(' ').next().unwrap_or("")).or_insert(0) += 1;
+        *action_counts.entry(expected.split(' ').next().unwrap_or("")).or_insert(0) += 1;
     }
     // A recording without one kind of action would not notice a change in the decisions about that action.
-    for (action, least) in [
+    for (action, min_count) in [
         ("DELIVER", 1_000),
         ("DECLINE", 50),
         ("GIVE_UP", 5),
@@ -90,12 +90,16 @@
         ("STREAM_CHANGES", 2),
         ("SET_ALARM", 300),
     ] {
-        let count = counts.get(action).copied().unwrap_or(0);
-        assert!(count >= least, "the recording has {count} {action} lines, expected at least {least}");
+        let count = action_counts.get(action).copied().unwrap_or(0);
+        assert!(
+            count >= min_count,
+            "the recording has {count} {action} lines, expected at least {min_count}"
+        );
     }
 }
 
-// The simulation that the recording is made from.
+// The simulation that the recording is made from. Its times are in microseconds unless a name tells another
+// unit.
 
 const US_PER_MS: u64 = 1_000;
 /// The time of the first batch.
@@ -103,6 +107,7 @@
 const TICK_US: u64 = 10 * US_PER_MS;
 const TICKS: u64 = 1_600;
 const SERVERS: u64 = 14;
+const INITIAL_SERVERS: u64 = 12;
 /// A node of a small group, which may probe and subscribes to its list, and one of a large group, whose
 /// servers run short of capacity.
 const NODE_SETTINGS: [&str; 2] = [
@@ -127,9 +132,9 @@
 const CLASSES: [&str; 4] = ["view", "close", "sheet", "order"];
 
 /// An input to a node.
-enum Scheduled {
+enum Input {
     Line(String),
-    /// The end of an attempt, unless the attempt was cancelled before.
+    /// The end of an attempt, unless the attempt has ended before.
     AttemptEnd {
         id: String,
         attempt: u32,
@@ -142,19 +147,20 @@
 #[derive(Default)]
 struct Simulation {
     /// Inputs by their time and the order in which they were scheduled, with their node.
-    schedule: BTreeMap<(u64, u64), (usize, Scheduled)>,
+    schedule: BTreeMap<(u64, u64), (usize, Input)>,
     /// Number of inputs scheduled so far.
-    scheduled: u64,
+    scheduled_count: u64,
     /// Node and number of attempts of each open request.
     open_requests: HashMap<String, (usize, u32)>,
     /// Server and send time of each attempt in flight.
     in_flight: HashMap<(String, u32), (u64, u64)>,
     in_flight_per_server: [u64; SERVERS as usize],
+    /// Calls to discovery so far.
     subscriptions: u32,
 }
 
-/// The fault of a server at a time, if it has one.
-fn fault_of(now: u64, server: u64) -> Option<&'static str> {
+/// The outcome that a faulty server gives most of its attempts at a time; `None` if the server has no fault.
+fn find_fault(now: u64, server: u64) -> Option<&'static str> {
     match (server, now / US_PER_MS - START_MS) {
         (3, 4_000..7_000) => Some("error"),
         (6, 8_000..11_000) => Some("timeout"),
@@ -165,9 +171,9 @@
 }
 
 impl Simulation {
-    fn schedule_input(&mut self, at: u64, node: usize, input: Scheduled) {
-        self.scheduled += 1;
-        self.schedule.insert((at, self.scheduled), (node, input));
+    fn schedule_input(&mut self, at: u64, node: usize, input: Input) {
+        self.scheduled_count += 1;
+        self.schedule.insert((at, self.scheduled_count), (node, input));
     }
 
     /// Draws the outcome of an attempt that is sent now, and the time until it ends. All servers fail a
@@ -181,7 +187,7 @@
             _ => 1,
         };
         let answer_us = (20 + rng.u64(0..40) + 25 * others) * slowdown * US_PER_MS;
-        let (reason, elapsed) = match (rng.u32(0..100), fault_of(now, server)) {
+        let (reason, elapsed) = match (rng.u32(0..100), find_fault(now, server)) {
             (0..=69, Some("timeout")) => ("timeout", u64::MAX),
             (0..=69, Some(reason)) => (reason, 8 * US_PER_MS),
             (0, _) => ("error", answer_us / 2),
@@ -213,7 +219,7 @@
                 self.schedule_input(
                     now + elapsed.max(1),
                     node,
-                    Scheduled::AttemptEnd { id, attempt, server, reason, elapsed },
+                    Input::AttemptEnd { id, attempt, server, reason, elapsed },
                 );
             }
             "CALL_OFF" => {
@@ -223,7 +229,7 @@
                 self.schedule_input(
                     now + US_PER_MS,
                     node,
-                    Scheduled::AttemptEnd { id, attempt, server, reason: "cancelled", elapsed },
+                    Input::AttemptEnd { id, attempt, server, reason: "cancelled", elapsed },
                 );
             }
             "DECLINE" | "GIVE_UP" => drop(self.open_requests.remove(fields[1])),
@@ -232,31 +238,31 @@
                 self.schedule_input(
                     at.max(now + 1),
                     node,
-                    Scheduled::Line(format!("TIMEOUT_FIRED {}", fields[2])),
+                    Input::Line(format!("TIMEOUT_FIRED {}", fields[2])),
                 );
             }
             "INSPECT" => {
                 let server: u64 = fields[1].parse().unwrap();
-                let reason = if fault_of(now, server).is_some() { "timeout" } else { "ok" };
+                let reason = if find_fault(now, server).is_some() { "timeout" } else { "ok" };
                 let input = format!("STATUS_BACK {} {reason} 4000 3,0.4", fields[1]);
-                self.schedule_input(now + 4 * US_PER_MS, node, Scheduled::Line(input));
+                self.schedule_input(now + 4 * US_PER_MS, node, Input::Line(input));
             }
             "STREAM_CHANGES" => {
                 // The first call fails, and a later subscription breaks.
                 self.subscriptions += 1;
                 let input = if self.subscriptions.is_multiple_of(2) { "SYNC 2 D 2" } else { "SYNC 2 X -" };
-                self.schedule_input(now + 30 * US_PER_MS, node, Scheduled::Line(input.to_owned()));
-                self.schedule_input(now + 5_000 * US_PER_MS, node, Scheduled::Line("SYNC 2 X -".to_owned()));
+                self.schedule_input(now + 30 * US_PER_MS, node, Input::Line(input.to_owned()));
+                self.schedule_input(now + 5_000 * US_PER_MS, node, Input::Line("SYNC 2 X -".to_owned()));
             }
             _ => {}
         }
     }
 
-    /// The line of an input that falls due; `None` if it no longer applies.
-    fn write_input(&mut self, now: u64, input: Scheduled, rng: &mut Rng) -> Option<String> {
+    /// Applies an input that is due and returns its line; `None` if the attempt has ended before.
+    fn apply_input(&mut self, now: u64, input: Input, rng: &mut Rng) -> Option<String> {
         let (id, attempt, server, reason, elapsed) = match input {
-            Scheduled::Line(line) => return Some(line),
-            Scheduled::AttemptEnd { id, attempt, server, reason, elapsed } => {
+            Input::Line(line) => return Some(line),
+            Input::AttemptEnd { id, attempt, server, reason, elapsed } => {
                 (id, attempt, server, reason, elapsed)
             }
         };
@@ -282,11 +288,12 @@
     format!("M {server} zone-{} kind {} {state} {size} {started_at}\n", server % 2, server / 4)
 }
 
-/// The list changes at a time (`D` is a delta, `F` the complete list): two servers drain, of which one is
-/// removed and one restarts cold; later new servers start cold and others are removed.
-fn list_changes(ms: u64, now: u64) -> Vec<(&'static str, String)> {
-    let pool = |text: &[String]| format!("POOL 1 {}\n{}", text.len(), text.concat());
-    match ms {
+/// The changes of the list at a time (`D` is a delta, `F` the complete list). Two servers drain, of which one
+/// is removed and one restarts cold. Later two new servers start cold, two others are removed, and finally
+/// all are listed again.
+fn list_changes(since_start_ms: u64, now: u64) -> Vec<(&'static str, String)> {
+    let pool = |entries: &[String]| format!("POOL 1 {}\n{}", entries.len(), entries.concat());
+    match since_start_ms {
         3_000 => vec![("D", pool(&[list_entry(1, "terminating", 0), list_entry(2, "terminating", 0)]))],
         3_600 => vec![(
             "D",
@@ -295,7 +302,7 @@
         7_500 => vec![("D", pool(&[list_entry(12, "in_service", now), list_entry(13, "in_service", now)]))],
         9_500 => vec![("D", pool(&[list_entry(4, "terminated", 0), list_entry(5, "terminated", 0)]))],
         12_500 => {
-            let all: Vec<String> = (0..SERVERS).map(|s| list_entry(s, "in_service", 0)).collect();
+            let all: Vec<String> = (0..SERVERS).map(|server| list_entry(server, "in_service", 0)).collect();
             vec![("F", pool(&all))]
         }
         _ => Vec::new(),
@@ -307,17 +314,19 @@
 fn record() {
     let (mut adapter, mut simulation, mut rng) =
         (Adapter::start(), Simulation::default(), Rng::with_seed(20_261_201));
-    let (mut text, mut number) = (String::new(), 0u64);
+    let (mut recording, mut request_number) = (String::new(), 0u64);
     for tick in 0..TICKS {
         let now = START_MS * US_PER_MS + tick * TICK_US;
-        let ms = tick * TICK_US / US_PER_MS;
+        let since_start_ms = tick * TICK_US / US_PER_MS;
         let mut batch = String::new();
-        for (kind, pool) in list_changes(ms, now) {
-            write!(batch, "{pool}CONTEXT 0\nSYNC {ms} {kind} 1\nCONTEXT 1\nSYNC {ms} {kind} 1\n").unwrap();
+        for (kind, pool) in list_changes(since_start_ms, now) {
+            let sync = format!("SYNC {since_start_ms} {kind} 1");
+            write!(batch, "{pool}CONTEXT 0\n{sync}\nCONTEXT 1\n{sync}\n").unwrap();
         }
         if tick == 0 {
-            let initial: String = (0..12).map(|s| list_entry(s, "in_service", 0)).collect();
-            write!(batch, "POOL 0 12\n{initial}POOL 2 0\n").unwrap();
+            let initial: String =
+                (0..INITIAL_SERVERS).map(|server| list_entry(server, "in_service", 0)).collect();
+            write!(batch, "POOL 0 {INITIAL_SERVERS}\n{initial}POOL 2 0\n").unwrap();
             for (node, settings) in NODE_SETTINGS.iter().enumerate() {
                 write!(
                     batch,
@@ -327,14 +336,15 @@
                 .unwrap();
             }
         }
-        // For a while the traffic doubles and one key is hot.
-        let arrival_chance = if (5_000..13_000).contains(&ms) { 0.68 } else { 0.3 };
+        // From second 5 to second 13 about five times as many requests arrive; after second 6 one key is hot.
+        let arrival_chance = if (5_000..13_000).contains(&since_start_ms) { 0.68 } else { 0.3 };
         while rng.f64() < arrival_chance {
-            number += 1;
-            let node = number as usize % 2;
-            let id = format!("{number:036}");
+            request_number += 1;
+            let node = request_number as usize % 2;
+            let id = format!("{request_number:036}");
             let class = CLASSES[[0, 0, 0, 1, 2, 2, 3][rng.usize(0..7)]];
-            let key = if ms > 6_000 && rng.f64() < 0.3 { 1 } else { rng.u64(0..300) * rng.u64(0..3) };
+            let key =
+                if since_start_ms > 6_000 && rng.f64() < 0.3 { 1 } else { rng.u64(0..300) * rng.u64(0..3) };
             let key = if rng.f64() < 0.1 { "-".to_owned() } else { (key + 100).to_string() };
             let tenant = ["south", "north", "0"][rng.usize(0..3)];
             let (time_left, is_client_retry) = (rng.u64(200..2_000) * US_PER_MS, u8::from(rng.f64() < 0.1));
@@ -346,21 +356,17 @@
             .unwrap();
             simulation.open_requests.insert(id.clone(), (node, 0));
             if rng.f64() < 0.02 {
-                simulation.schedule_input(
-                    now + 60 * US_PER_MS,
-                    node,
-                    Scheduled::Line(format!("LAPSED {id}")),
-                );
+                simulation.schedule_input(now + 60 * US_PER_MS, node, Input::Line(format!("LAPSED {id}")));
             }
         }
         while let Some(first) = simulation.schedule.first_entry().filter(|first| first.key().0 <= now) {
             let (node, input) = first.remove();
-            if let Scheduled::Line(line) = &input {
+            if let Input::Line(line) = &input {
                 if let Some(id) = line.strip_prefix("LAPSED ") {
                     simulation.open_requests.remove(id);
                 }
             }
-            if let Some(line) = simulation.write_input(now, input, &mut rng) {
+            if let Some(line) = simulation.apply_input(now, input, &mut rng) {
                 write!(batch, "CONTEXT {node}\n{line}\n").unwrap();
             }
         }
@@ -368,15 +374,15 @@
             continue;
         }
         let batch = format!("BEGIN_BATCH {now} {tick}\n{batch}EOF_BATCH\n");
-        text.push_str(&batch);
+        recording.push_str(&batch);
         let mut node = 0;
         for line in adapter.send_batch(&batch) {
-            writeln!(text, "{ANSWER_PREFIX}{line}").unwrap();
+            writeln!(recording, "{ANSWER_PREFIX}{line}").unwrap();
             if let Some(number) = line.strip_prefix("ON_BEHALF ") {
                 node = number.parse().unwrap();
             }
             simulation.apply_action(now, node, &line, &mut rng);
         }
     }
-    std::fs::write(RECORDING_PATH, text).unwrap();
+    std::fs::write(RECORDING_PATH, recording).unwrap();
 }
