--- a/crates/replica/src/api.rs
+++ b/crates/replica/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API: commands, watches, questions. JSON in and out; `docs/registry.md` has the table.
+//! The HTTP API of a replica: commands, watches and queries, with JSON bodies. `docs/registry.md` lists the paths.
 
 use std::time::{Duration, Instant};
 
@@ -16,142 +16,179 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use crate::config::Config;
-use crate::raftloop::{Answer, Msg, View};
-use crate::watches::{target, Feed, Kind};
+use crate::raftloop::{LoopMessage, ProposalResult, StateView};
+use crate::watches::{format_target, WatchKind, WatchRequest};
 
-/// The longest body of a command.
-const LONGEST: usize = 4 << 20;
-/// Lines that wait for one watch.
-const LINES: usize = 256;
-/// The longest that a command waits for its majority before the answer is that nobody can tell.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// The largest body of a command.
+const MAX_COMMAND_BYTES: usize = 4 << 20;
+/// How many lines can wait for one watch.
+const WATCH_QUEUE_LINES: usize = 256;
+/// How long a command may take to be committed and applied before the response is that its outcome is unknown.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How many entries of the audit's history a response has if the query does not say.
+const DEFAULT_HISTORY_ENTRIES: usize = 1_000;
+/// How many entries of the audit's history a response has at most.
+const MAX_HISTORY_ENTRIES: usize = 10_000;
 
 #[derive(Clone)]
 struct Api {
-    tx: mpsc::Sender<Msg>,
+    loop_tx: mpsc::Sender<LoopMessage>,
     config: Config,
 }
 
-pub async fn serve(listener: TcpListener, tx: mpsc::Sender<Msg>, config: Config) -> std::io::Result<()> {
+/// Serves the API until the listener fails.
+pub async fn serve(
+    listener: TcpListener,
+    loop_tx: mpsc::Sender<LoopMessage>,
+    config: Config,
+) -> std::io::Result<()> {
     let routes = Router::new()
-        .route("/api/targets", get(targets))
-        .route("/v1/watch", get(watch))
-        .route("/v1/commands", post(command))
-        .route("/v1/status", get(status))
-        .route("/v1/members", get(members))
-        .route("/v1/audit", get(audit))
-        .route("/v1/audit/revisions", get(revisions))
-        .route("/v1/audit/revisions/{revision}", get(revision))
-        .route("/v1/audit/at/{clock}", get(in_use))
-        .route("/v1/audit/after-drain/{server}", get(after_drain))
-        .route("/v1/audit/history", get(history))
-        .layer(DefaultBodyLimit::max(LONGEST))
-        .with_state(Api { tx, config });
+        .route("/api/targets", get(get_targets))
+        .route("/v1/watch", get(watch_as_agent))
+        .route("/v1/commands", post(post_command))
+        .route("/v1/status", get(get_status))
+        .route("/v1/members", get(list_members))
+        .route("/v1/audit", get(get_audit))
+        .route("/v1/audit/revisions", get(list_revisions))
+        .route("/v1/audit/revisions/{revision}", get(get_revision))
+        .route("/v1/audit/at/{clock}", get(list_revisions_in_use))
+        .route("/v1/audit/after-drain/{server}", get(list_requests_after_drain))
+        .route("/v1/audit/history", get(get_history))
+        .layer(DefaultBodyLimit::max(MAX_COMMAND_BYTES))
+        .with_state(Api { loop_tx, config });
     axum::serve(listener, routes).await
 }
 
-fn fault(status: StatusCode, error: &str, more: Value) -> Response {
+/// A response with an error message and further fields.
+fn error_response(status: StatusCode, error: &str, fields: Value) -> Response {
     let mut body = json!({"error": error});
-    if let (Some(body), Value::Object(more)) = (body.as_object_mut(), more) {
-        body.extend(more);
+    if let (Some(body), Value::Object(fields)) = (body.as_object_mut(), fields) {
+        body.extend(fields);
     }
     (status, Json(body)).into_response()
 }
 
 impl Api {
-    /// Looks at the state.
-    async fn ask<T: Send + 'static>(
+    /// Runs a function on the state, in the event loop, and returns its result.
+    async fn query<T: Send + 'static>(
         &self,
-        look: impl FnOnce(&View<'_>) -> T + Send + 'static,
+        query: impl FnOnce(&StateView<'_>) -> T + Send + 'static,
     ) -> Result<T, Response> {
-        let (tx, rx) = oneshot::channel();
-        let look = Box::new(move |view: &View<'_>| drop(tx.send(look(view))));
-        let gone = |_| fault(StatusCode::SERVICE_UNAVAILABLE, "the replica is ending", json!({}));
-        self.tx.send(Msg::Ask(look)).await.map_err(|_| gone(()))?;
-        rx.await.map_err(|_| gone(()))
+        let (result_tx, result_rx) = oneshot::channel();
+        let query = Box::new(move |view: &StateView<'_>| drop(result_tx.send(query(view))));
+        let stopped =
+            |_| error_response(StatusCode::SERVICE_UNAVAILABLE, "the replica is shutting down", json!({}));
+        self.loop_tx.send(LoopMessage::Query(query)).await.map_err(|_| stopped(()))?;
+        result_rx.await.map_err(|_| stopped(()))
     }
 
-    async fn answer(&self, look: impl FnOnce(&View<'_>) -> Option<Value> + Send + 'static) -> Response {
-        match self.ask(look).await {
+    /// Responds with the result of a query; `None` is a 404.
+    async fn respond(
+        &self,
+        query: impl FnOnce(&StateView<'_>) -> Option<Value> + Send + 'static,
+    ) -> Response {
+        match self.query(query).await {
             Ok(Some(value)) => Json(value).into_response(),
-            Ok(None) => fault(StatusCode::NOT_FOUND, "not known here, or no longer", json!({})),
+            Ok(None) => {
+                let error = "not found: this replica does not know it, or no longer keeps it";
+                error_response(StatusCode::NOT_FOUND, error, json!({}))
+            }
             Err(response) => response,
         }
     }
 
-    async fn open(&self, kind: Kind, asked: Watch) -> Response {
-        let (tx, rx) = mpsc::channel(LINES);
-        let (opened, word) = oneshot::channel();
-        let pool = asked.pool.unwrap_or_else(|| self.config.state.targets_pool.clone());
-        let feed = Feed {
+    /// Opens a watch; the response is its stream of lines.
+    async fn open_watch(&self, kind: WatchKind, query: WatchQuery) -> Response {
+        let (lines_tx, lines_rx) = mpsc::channel(WATCH_QUEUE_LINES);
+        let (opened_tx, opened_rx) = oneshot::channel();
+        let pool = query.pool.unwrap_or_else(|| self.config.state.targets_pool.clone());
+        let request = WatchRequest {
             kind,
             pool,
-            sent: asked.index.unwrap_or(0),
-            whole: asked.index.is_none(),
-            directives: 0,
-            last: Instant::now(),
-            tx,
-            opened,
+            known_revision: query.index.unwrap_or(0),
+            needs_complete_list: query.index.is_none(),
+            directives_version: 0,
+            requested_at: Instant::now(),
+            lines: lines_tx,
+            opened: opened_tx,
         };
-        if self.tx.send(Msg::Watch(feed)).await.is_err() {
-            return fault(StatusCode::SERVICE_UNAVAILABLE, "the replica is ending", json!({}));
+        if self.loop_tx.send(LoopMessage::OpenWatch(request)).await.is_err() {
+            return error_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "the replica is shutting down",
+                json!({}),
+            );
         }
-        match word.await {
+        match opened_rx.await {
             Ok(Ok(())) => {
                 use tokio_stream::StreamExt;
-                let lines = ReceiverStream::new(rx).map(Ok::<_, std::convert::Infallible>);
+                let lines = ReceiverStream::new(lines_rx).map(Ok::<_, std::convert::Infallible>);
                 Body::from_stream(lines).into_response()
             }
-            Ok(Err(why)) => fault(StatusCode::CONFLICT, why, json!({})),
-            Err(_) => fault(StatusCode::SERVICE_UNAVAILABLE, "the replica is ending", json!({})),
+            Ok(Err(reason)) => error_response(StatusCode::CONFLICT, reason, json!({})),
+            Err(_) => {
+                error_response(StatusCode::SERVICE_UNAVAILABLE, "the replica is shutting down", json!({}))
+            }
         }
     }
 }
 
+/// The query of a list or a watch.
 #[derive(Deserialize)]
-struct Watch {
+struct WatchQuery {
+    /// The revision that the watcher has; without it the watch begins with the complete list.
     index: Option<u64>,
+    /// 1 if `/api/targets` is to be a watch.
     stream: Option<u8>,
+    /// The pool whose servers are listed; without it the configured pool.
     pool: Option<String>,
 }
 
-/// The list in the protocol's form: whole, or as a watch.
-async fn targets(Shared(api): Shared<Api>, Query(asked): Query<Watch>) -> Response {
-    if asked.stream == Some(1) {
-        return api.open(Kind::Targets, asked).await;
+/// The server list in the format of the discovery protocol: as it is now, or as a watch.
+async fn get_targets(Shared(api): Shared<Api>, Query(query): Query<WatchQuery>) -> Response {
+    if query.stream == Some(1) {
+        return api.open_watch(WatchKind::Targets, query).await;
     }
-    let pool = asked.pool.unwrap_or_else(|| api.config.state.targets_pool.clone());
-    api.answer(move |view| {
+    let pool = query.pool.unwrap_or_else(|| api.config.state.targets_pool.clone());
+    api.respond(move |view| {
         let ListUpdate::Full(members) = view.state.updates_since(0, Role::Server, &pool) else { return None };
-        let members: Vec<Value> = members.iter().map(|member| target(member, false)).collect();
+        let members: Vec<Value> = members.iter().map(|member| format_target(member, false)).collect();
         Some(json!({"revision": view.state.revision(), "complete": true, "members": members}))
     })
     .await
 }
 
-async fn watch(Shared(api): Shared<Api>, Query(asked): Query<Watch>) -> Response {
-    api.open(Kind::Agent, asked).await
+/// The server list as an agent watches it, with log time and the audit's directives.
+async fn watch_as_agent(Shared(api): Shared<Api>, Query(query): Query<WatchQuery>) -> Response {
+    api.open_watch(WatchKind::Agent, query).await
 }
 
-async fn command(Shared(api): Shared<Api>, body: axum::body::Bytes) -> Response {
+/// Proposes a command and responds with its outcome.
+async fn post_command(Shared(api): Shared<Api>, body: axum::body::Bytes) -> Response {
     let proposal: Proposal = match serde_json::from_slice(&body) {
         Ok(proposal) => proposal,
-        Err(error) => return fault(StatusCode::BAD_REQUEST, &format!("the command: {error}"), json!({})),
+        Err(error) => {
+            return error_response(StatusCode::BAD_REQUEST, &format!("invalid command: {error}"), json!({}))
+        }
     };
-    let ours = matches!(proposal.command, registry::Command::Tick { .. } | registry::Command::Noop);
-    if ours {
-        return fault(StatusCode::BAD_REQUEST, "the command: only a leader writes this one", json!({}));
+    let is_internal = matches!(proposal.command, registry::Command::Tick { .. } | registry::Command::Noop);
+    if is_internal {
+        return error_response(
+            StatusCode::BAD_REQUEST,
+            "invalid command: only the leader may propose it",
+            json!({}),
+        );
     }
-    let (reply, answer) = oneshot::channel();
-    if api.tx.send(Msg::Propose { proposal, reply }).await.is_err() {
-        return fault(StatusCode::SERVICE_UNAVAILABLE, "the replica is ending", json!({}));
+    let (reply, result_rx) = oneshot::channel();
+    if api.loop_tx.send(LoopMessage::Propose { proposal, reply }).await.is_err() {
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "the replica is shutting down", json!({}));
     }
-    let answer = match tokio::time::timeout(PATIENCE, answer).await {
-        Ok(Ok(answer)) => answer,
-        _ => Answer::Unknown,
+    let result = match tokio::time::timeout(COMMIT_TIMEOUT, result_rx).await {
+        Ok(Ok(result)) => result,
+        _ => ProposalResult::Unknown,
     };
-    match answer {
-        Answer::Outcome(outcome) => {
+    match result {
+        ProposalResult::Outcome(outcome) => {
             let status = match outcome {
                 Outcome::Done { .. } => StatusCode::OK,
                 Outcome::Conflict { .. } => StatusCode::CONFLICT,
@@ -159,26 +196,35 @@
             };
             (status, Json(outcome)).into_response()
         }
-        Answer::NotLeader(leader) => {
-            let at =
-                leader.and_then(|id| api.config.peers.iter().find(|peer| peer.id == id)).map(|peer| peer.api);
-            let more = json!({"leader": leader, "api": at});
-            fault(StatusCode::MISDIRECTED_REQUEST, "this replica does not lead: nothing happened", more)
-        }
-        Answer::Unknown => {
-            let said = "no majority in time: it may have happened; ask again with the same request id";
-            fault(StatusCode::GATEWAY_TIMEOUT, said, json!({}))
+        ProposalResult::NotLeader(leader) => {
+            let leader_api = leader
+                .and_then(|id| api.config.peers.iter().find(|peer| peer.id == id))
+                .map(|peer| peer.api_addr);
+            let fields = json!({"leader": leader, "api": leader_api});
+            error_response(
+                StatusCode::MISDIRECTED_REQUEST,
+                "this replica is not the leader; the command was not applied",
+                fields,
+            )
         }
-        Answer::Full => {
-            fault(StatusCode::SERVICE_UNAVAILABLE, "too many commands wait: nothing happened", json!({}))
+        ProposalResult::Unknown => {
+            let error = "no majority committed the command in time, or the leader changed: \
+                the command may have been applied; retry it under the same request id";
+            error_response(StatusCode::GATEWAY_TIMEOUT, error, json!({}))
         }
+        ProposalResult::Overloaded => error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "too many commands are pending; the command was not applied",
+            json!({}),
+        ),
     }
 }
 
-async fn status(Shared(api): Shared<Api>) -> Response {
-    api.answer(|view| {
+/// The role of this replica, and how far its state has come.
+async fn get_status(Shared(api): Shared<Api>) -> Response {
+    api.respond(|view| {
         Some(json!({
-            "id": view.id, "leader": view.leader, "leads": view.leads, "term": view.term,
+            "id": view.id, "leader": view.leader, "leads": view.is_leader, "term": view.term,
             "applied": view.state.applied_index(), "revision": view.state.revision(), "clock": view.state.now(),
             "guarded": view.state.guarded_pools(),
         }))
@@ -186,8 +232,9 @@
     .await
 }
 
-async fn members(Shared(api): Shared<Api>) -> Response {
-    api.answer(|view| {
+/// All members, with the revision at which each was last changed.
+async fn list_members(Shared(api): Shared<Api>) -> Response {
+    api.respond(|view| {
         let members =
             view.state.members().map(|(member, revision)| json!({"revision": revision, "member": member}));
         Some(Value::Array(members.collect()))
@@ -195,8 +242,9 @@
     .await
 }
 
-async fn audit(Shared(api): Shared<Api>) -> Response {
-    api.answer(|view| {
+/// The audit's floor, and its verdict on each node.
+async fn get_audit(Shared(api): Shared<Api>) -> Response {
+    api.respond(|view| {
         let audit = view.state.audit();
         Some(json!({
             "clock": audit.now(), "revision": view.state.revision(), "floor": audit.floor(),
@@ -206,52 +254,61 @@
     .await
 }
 
-async fn revisions(Shared(api): Shared<Api>) -> Response {
-    api.answer(|view| {
+/// How fast each revision that the audit keeps reached the nodes.
+async fn list_revisions(Shared(api): Shared<Api>) -> Response {
+    api.respond(|view| {
         let (kept, forgotten) = view.state.audit().list_kept_revisions();
-        let spread = kept.iter().filter_map(|&revision| view.state.audit().propagation(revision));
-        Some(json!({"forgotten": forgotten, "revisions": spread.collect::<Vec<_>>()}))
+        let propagation = kept.iter().filter_map(|&revision| view.state.audit().propagation(revision));
+        Some(json!({"forgotten": forgotten, "revisions": propagation.collect::<Vec<_>>()}))
     })
     .await
 }
 
-async fn revision(Shared(api): Shared<Api>, Path(revision): Path<u64>) -> Response {
-    api.answer(move |view| {
-        let (spread, acted) =
+/// How fast a revision reached the nodes, and which nodes acted on it.
+async fn get_revision(Shared(api): Shared<Api>, Path(revision): Path<u64>) -> Response {
+    api.respond(move |view| {
+        let (propagation, activity) =
             (view.state.audit().propagation(revision)?, view.state.audit().list_activity(revision)?);
-        Some(json!({"spread": spread, "acted": acted}))
+        Some(json!({"spread": propagation, "acted": activity}))
     })
     .await
 }
 
-async fn in_use(Shared(api): Shared<Api>, Path(clock): Path<u64>) -> Response {
-    api.answer(move |view| {
+/// The revision that each node acted on at a log time.
+async fn list_revisions_in_use(Shared(api): Shared<Api>, Path(clock): Path<u64>) -> Response {
+    api.respond(move |view| {
         Some(json!({"clock": clock.min(view.state.now()), "in_use": view.state.audit().list_revisions_in_use(clock)}))
     })
     .await
 }
 
-async fn after_drain(Shared(api): Shared<Api>, Path(server): Path<String>) -> Response {
-    api.answer(move |view| {
-        let (requests, more) = view.state.audit().list_requests_after_drain(&server);
-        Some(json!({"server": server, "requests": requests, "more_of_all_servers": more}))
+/// The requests that reached a server while it was draining.
+async fn list_requests_after_drain(Shared(api): Shared<Api>, Path(server): Path<String>) -> Response {
+    api.respond(move |view| {
+        let (requests, unlisted_count) = view.state.audit().list_requests_after_drain(&server);
+        Some(json!({"server": server, "requests": requests, "more_of_all_servers": unlisted_count}))
     })
     .await
 }
 
+/// The query of the audit's history.
 #[derive(Deserialize)]
-struct From {
+struct HistoryQuery {
+    /// The number of the first entry.
     from: Option<u64>,
-    most: Option<usize>,
+    /// How many entries the response may have.
+    #[serde(rename = "most")]
+    limit: Option<usize>,
 }
 
-async fn history(Shared(api): Shared<Api>, Query(asked): Query<From>) -> Response {
-    api.answer(move |view| {
+/// The entries of the audit's history from a number on.
+async fn get_history(Shared(api): Shared<Api>, Query(query): Query<HistoryQuery>) -> Response {
+    api.respond(move |view| {
         let history = view.state.audit().history();
-        let lines =
-            history.entries_from(asked.from.unwrap_or(0)).take(asked.most.unwrap_or(1_000).min(10_000));
+        let limit = query.limit.unwrap_or(DEFAULT_HISTORY_ENTRIES).min(MAX_HISTORY_ENTRIES);
+        let entries = history.entries_from(query.from.unwrap_or(0)).take(limit);
         let (number, hash) = history.last_dropped();
-        Some(json!({"dropped": {"number": number, "hash": hash}, "lines": lines.collect::<Vec<_>>()}))
+        Some(json!({"dropped": {"number": number, "hash": hash}, "lines": entries.collect::<Vec<_>>()}))
     })
     .await
 }
--- a/crates/replica/src/config.rs
+++ b/crates/replica/src/config.rs
@@ -1,122 +1,134 @@
-//! What a replica is told.
+//! The configuration of a replica.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use serde::{Deserialize, Serialize};
 
-/// Where another replica is found.
+/// The addresses of another replica of the cluster.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its number.
+    /// The peer's id.
     pub id: u64,
-    /// Its address for Raft.
-    pub raft: SocketAddr,
-    /// Its API, for clients that ask here and have to ask the leader.
-    pub api: SocketAddr,
+    /// The peer's address for Raft messages.
+    #[serde(rename = "raft")]
+    pub raft_addr: SocketAddr,
+    /// The address of the peer's API, to which clients are redirected when the peer is the leader.
+    #[serde(rename = "api")]
+    pub api_addr: SocketAddr,
 }
 
 /// The configuration of a replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The group's number: the same at each of its replicas, and no other group's.
+    /// The number of the cluster: the same at all of its replicas, and different from any other cluster's.
     pub cluster: u64,
-    /// This replica's number, 1 or more.
+    /// This replica's id, 1 or more.
     pub id: u64,
-    /// The API's address.
+    /// The address of the API.
     pub listen: SocketAddr,
-    /// The address for other replicas.
+    /// The address for Raft messages of the other replicas.
     pub raft_listen: SocketAddr,
-    /// The folder of its file.
-    pub data: PathBuf,
-    /// The other replicas; none for a group of one.
+    /// The directory of the replica's file.
+    #[serde(rename = "data")]
+    pub data_dir: PathBuf,
+    /// The other replicas; empty for a cluster of one replica.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// A tick of Raft.
-    #[serde(default = "tick_ms")]
-    pub tick_ms: u64,
-    /// Ticks without a leader's word before an election.
-    #[serde(default = "election_ticks")]
+    /// The interval of Raft's ticks.
+    #[serde(rename = "tick_ms", default = "default_raft_tick_ms")]
+    pub raft_tick_ms: u64,
+    /// How many ticks without a message from a leader start an election.
+    #[serde(default = "default_election_ticks")]
     pub election_ticks: usize,
-    /// Ticks between a leader's heartbeats.
-    #[serde(default = "heartbeat_ticks")]
+    /// How many ticks lie between two heartbeats of a leader.
+    #[serde(default = "default_heartbeat_ticks")]
     pub heartbeat_ticks: usize,
-    /// How often the leader writes the passing of time to the log.
-    #[serde(default = "clock_ms")]
-    pub clock_ms: u64,
-    /// Entries after which the log is replaced by a snapshot.
-    #[serde(default = "snapshot_every")]
-    pub snapshot_every: u64,
-    /// Messages that wait for the loop.
-    #[serde(default = "queue")]
-    pub queue: usize,
-    /// Commands that wait for a majority.
-    #[serde(default = "queue")]
-    pub pending: usize,
-    /// Open watches.
-    #[serde(default = "watches")]
-    pub watches: usize,
-    /// The state's own, the same at every replica.
+    /// The interval at which the leader advances log time.
+    #[serde(rename = "clock_ms", default = "default_clock_interval_ms")]
+    pub clock_interval_ms: u64,
+    /// The number of applied entries after which the log is replaced by a snapshot.
+    #[serde(rename = "snapshot_every", default = "default_snapshot_interval_entries")]
+    pub snapshot_interval_entries: u64,
+    /// How many messages can wait for the event loop.
+    #[serde(rename = "queue", default = "default_capacity")]
+    pub queue_capacity: usize,
+    /// How many commands can wait to be committed and applied.
+    #[serde(rename = "pending", default = "default_capacity")]
+    pub max_pending: usize,
+    /// How many watches can be open.
+    #[serde(rename = "watches", default = "default_max_watches")]
+    pub max_watches: usize,
+    /// The settings of the replicated state, which have to be the same at all replicas.
     #[serde(default)]
     pub state: registry::Config,
 }
 
-fn tick_ms() -> u64 {
+fn default_raft_tick_ms() -> u64 {
     50
 }
 
-fn election_ticks() -> usize {
+fn default_election_ticks() -> usize {
     20
 }
 
-fn heartbeat_ticks() -> usize {
+fn default_heartbeat_ticks() -> usize {
     4
 }
 
-fn clock_ms() -> u64 {
+fn default_clock_interval_ms() -> u64 {
     500
 }
 
-fn snapshot_every() -> u64 {
+fn default_snapshot_interval_entries() -> u64 {
     20_000
 }
 
-fn queue() -> usize {
+fn default_capacity() -> usize {
     4_096
 }
 
-fn watches() -> usize {
+fn default_max_watches() -> usize {
     2_000
 }
 
 impl Config {
-    /// What is wrong with it, each with its key and what was expected.
+    /// Returns one message for each invalid setting, with its key and the values that are allowed.
     pub fn validate(&self) -> Vec<String> {
         let mut faults: Vec<String> =
             self.state.validate().iter().map(|fault| format!("state.{fault}")).collect();
-        let mut expect = |good: bool, what: String| faults.extend((!good).then_some(what));
+        let mut expect = |is_valid: bool, fault: String| faults.extend((!is_valid).then_some(fault));
         expect(self.id > 0, "id: expected 1 or more, found 0".to_owned());
-        let own = self.peers.iter().any(|peer| peer.id == self.id);
-        expect(!own, format!("peers: {} is this replica itself", self.id));
+        let has_itself = self.peers.iter().any(|peer| peer.id == self.id);
+        expect(
+            !has_itself,
+            format!("peers: expected other replicas only, found this replica's id {}", self.id),
+        );
         let mut ids: Vec<u64> = self.peers.iter().map(|peer| peer.id).collect();
         ids.sort_unstable();
         ids.dedup();
-        let good = ids.len() == self.peers.len() && !ids.contains(&0);
-        expect(good, "peers: expected each number once, and 1 or more".to_owned());
-        let all = self.peers.len() + 1;
-        expect(matches!(all, 1 | 3 | 5), format!("peers: expected 0, 2 or 4 others, found {}", all - 1));
-        let slow = self.election_ticks >= 2 * self.heartbeat_ticks && self.heartbeat_ticks > 0;
+        let are_ids_valid = ids.len() == self.peers.len() && !ids.contains(&0);
+        expect(are_ids_valid, "peers: expected distinct ids of 1 or more".to_owned());
+        let replicas = self.peers.len() + 1;
+        let others = replicas - 1;
+        expect(matches!(replicas, 1 | 3 | 5), format!("peers: expected 0, 2 or 4 others, found {others}"));
+        let are_elections_slow_enough =
+            self.election_ticks >= 2 * self.heartbeat_ticks && self.heartbeat_ticks > 0;
         expect(
-            slow,
-            "election_ticks: expected at least twice heartbeat_ticks, and that 1 or more".to_owned(),
+            are_elections_slow_enough,
+            "election_ticks: expected at least twice heartbeat_ticks, which has to be 1 or more".to_owned(),
         );
-        expect(self.tick_ms > 0 && self.clock_ms > 0, "tick_ms, clock_ms: expected more than 0".to_owned());
-        let clock = self.clock_ms <= self.state.max_tick_ms;
-        expect(clock, "clock_ms: expected no more than state.longest_tick_ms".to_owned());
-        let bounds = self.queue > 0 && self.pending > 0 && self.watches > 0 && self.snapshot_every > 0;
-        expect(bounds, "queue, pending, watches, snapshot_every: expected 1 or more".to_owned());
+        let are_intervals_valid = self.raft_tick_ms > 0 && self.clock_interval_ms > 0;
+        expect(are_intervals_valid, "tick_ms, clock_ms: expected more than 0".to_owned());
+        let fits_tick = self.clock_interval_ms <= self.state.max_tick_ms;
+        expect(fits_tick, "clock_ms: expected no more than state.longest_tick_ms".to_owned());
+        let are_limits_valid = self.queue_capacity > 0
+            && self.max_pending > 0
+            && self.max_watches > 0
+            && self.snapshot_interval_entries > 0;
+        expect(are_limits_valid, "queue, pending, watches, snapshot_every: expected 1 or more".to_owned());
         faults
     }
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,14 +1,16 @@
 //! A replica of the registry.
 //!
-//! The guarantees:
+//! Guarantees:
 //!
-//! 1. A command is answered as done when it is on disk at a majority and applied here, and not before. An answer
-//!    that can't tell ([`Answer::Unknown`]) may have happened: the same request id asks again without harm.
-//! 2. What a replica shows never goes back: not over its own restart, not on a watch.
-//! 3. Queues, watchers, frames and answers are bounded; a full one is refused with a reason.
+//! 1. A command is answered with an outcome only after it is on disk at a majority of the replicas and applied here.
+//!    A command that is answered with [`ProposalResult::Unknown`] may have been applied; it can be retried safely
+//!    under the same request id.
+//! 2. The state that a replica shows never goes back to an older one: not after a restart, and not on a watch.
+//! 3. Queues, watches, frames and request bodies are bounded. When a bound is reached, the request is refused with a
+//!    reason.
 //!
-//! One loop on one thread owns Raft and the state ([`run`]); the disk has a writer thread, and sockets have tasks
-//! that hold nothing but messages.
+//! One event loop on one thread owns Raft and the state ([`run`]). A writer thread owns the disk, and the tasks of the
+//! sockets communicate with the loop only through messages.
 
 mod api;
 mod config;
@@ -20,7 +22,7 @@
 mod wire;
 
 pub use config::{Config, Peer};
-pub use raftloop::Answer;
+pub use raftloop::ProposalResult;
 
 use std::time::Duration;
 
@@ -28,43 +30,46 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Runs a replica until it fails. `ready` is called with the addresses once both listeners are open.
+use raftloop::LoopMessage;
+
+/// Runs a replica until it fails. `ready` is called with the text `api=ADDRESS raft=ADDRESS` once both listeners are
+/// open.
 ///
 /// # Errors
 ///
-/// A configuration, a file or an address that can't be used; a disk that fails.
+/// The configuration is invalid, the file of the replica can't be used, a listener can't be opened, or the disk fails.
 pub async fn run(config: Config, ready: impl FnOnce(&str)) -> anyhow::Result<()> {
     let faults = config.validate();
     anyhow::ensure!(faults.is_empty(), "{}", faults.join("\n"));
-    std::fs::create_dir_all(&config.data).with_context(|| config.data.display().to_string())?;
-    let file = config.data.join("replica.redb");
+    std::fs::create_dir_all(&config.data_dir).with_context(|| config.data_dir.display().to_string())?;
+    let file = config.data_dir.join("replica.redb");
     let owner = store::Owner { cluster: config.cluster, replica: config.id };
-    let (store, found) = store::Store::open(&file, owner)?;
-    let (tx, rx) = mpsc::channel(config.queue);
+    let (store, stored) = store::Store::open(&file, owner)?;
+    let (loop_tx, loop_rx) = mpsc::channel(config.queue_capacity);
     let listen =
         |addr| async move { TcpListener::bind(addr).await.with_context(|| format!("listen on {addr}")) };
-    let api = listen(config.listen).await?;
-    let raft = listen(config.raft_listen).await?;
-    ready(&format!("api={} raft={}", api.local_addr()?, raft.local_addr()?));
-    let links = peers::Links::start(&config, raft, tx.clone());
-    let disk = disk_writer::start(store, tx.clone(), config.queue)?;
-    let served = tokio::spawn(api::serve(api, tx.clone(), config.clone()));
-    let ticks = tx.clone();
-    let each = Duration::from_millis(config.tick_ms);
+    let api_listener = listen(config.listen).await?;
+    let raft_listener = listen(config.raft_listen).await?;
+    ready(&format!("api={} raft={}", api_listener.local_addr()?, raft_listener.local_addr()?));
+    let links = peers::PeerLinks::start(&config, raft_listener, loop_tx.clone());
+    let disk = disk_writer::start(store, loop_tx.clone(), config.queue_capacity)?;
+    let api = tokio::spawn(api::serve(api_listener, loop_tx.clone(), config.clone()));
+    let tick_tx = loop_tx.clone();
+    let tick_interval = Duration::from_millis(config.raft_tick_ms);
     tokio::spawn(async move {
-        let mut timer = tokio::time::interval(each);
-        // After a stop of the process time has passed once, not once for each tick that was missed.
+        let mut timer = tokio::time::interval(tick_interval);
+        // After the process was suspended, there is one tick rather than one for each that was missed.
         timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         loop {
             timer.tick().await;
-            if ticks.send(raftloop::Msg::Tick).await.is_err() {
+            if tick_tx.send(LoopMessage::Tick).await.is_err() {
                 return;
             }
         }
     });
-    let replica = raftloop::Replica::new(config, found, links, disk)?;
+    let replica = raftloop::Replica::new(config, stored, links, disk)?;
     tokio::select! {
-        ended = replica.run(rx) => ended,
-        ended = served => Ok(ended.context("the API's task")??),
+        result = replica.run(loop_rx) => result,
+        result = api => Ok(result.context("the API's task")??),
     }
 }
--- a/crates/replica/src/log_storage.rs
+++ b/crates/replica/src/log_storage.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as Raft reads it. What is on disk is [`store`]'s.
+//! The Raft log in memory, in the form that Raft reads. The copy on disk belongs to [`store`].
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,77 +10,83 @@
 
 use crate::wire;
 
-/// The entries after the snapshot, and the snapshot. Shared with Raft, which reads it; one thread holds both.
+/// The latest snapshot and the entries after it. Raft reads a clone that shares the content; both are used by the
+/// event loop's thread only.
 #[derive(Clone)]
-pub struct Log(Rc<RefCell<Inner>>);
+pub struct LogStorage(Rc<RefCell<Content>>);
 
-struct Inner {
-    hard: HardState,
-    voters: ConfState,
+struct Content {
+    hard_state: HardState,
+    conf_state: ConfState,
     snapshot: Snapshot,
+    /// The entries after the snapshot, without a gap.
     entries: VecDeque<Entry>,
 }
 
-impl Inner {
-    fn start(&self) -> (u64, u64) {
+impl Content {
+    /// The index and the term of the last entry that the snapshot covers; 0 and 0 without a snapshot.
+    fn snapshot_position(&self) -> (u64, u64) {
         let meta = self.snapshot.get_metadata();
         (meta.index, meta.term)
     }
 
-    fn last(&self) -> u64 {
-        self.start().0 + self.entries.len() as u64
+    fn last_index(&self) -> u64 {
+        self.snapshot_position().0 + self.entries.len() as u64
     }
 }
 
-impl Log {
-    pub fn new(found: StoredState, voters: Vec<u64>) -> Log {
-        let mut hard = HardState::default();
-        (hard.term, hard.vote, hard.commit) =
-            (found.hard_state.term, found.hard_state.vote, found.hard_state.commit);
-        let snapshot = found.snapshot.map(wire::raft_snapshot).unwrap_or_default();
-        let conf = ConfState { voters, ..ConfState::default() };
-        let entries = found.entries.into_iter().map(wire::raft_entry).collect();
-        // A snapshot was committed, whatever the vote's record says.
-        hard.commit = hard.commit.max(snapshot.get_metadata().index);
-        Log(Rc::new(RefCell::new(Inner { hard, voters: conf, snapshot, entries })))
+impl LogStorage {
+    /// Creates the log from what is on disk.
+    pub fn new(stored: StoredState, voters: Vec<u64>) -> LogStorage {
+        let mut hard_state = HardState::default();
+        (hard_state.term, hard_state.vote, hard_state.commit) =
+            (stored.hard_state.term, stored.hard_state.vote, stored.hard_state.commit);
+        let snapshot = stored.snapshot.map(wire::to_raft_snapshot).unwrap_or_default();
+        let conf_state = ConfState { voters, ..ConfState::default() };
+        let entries = stored.entries.into_iter().map(wire::to_raft_entry).collect();
+        // All that a snapshot covers is committed, even if the stored hard state has an older commit index.
+        hard_state.commit = hard_state.commit.max(snapshot.get_metadata().index);
+        LogStorage(Rc::new(RefCell::new(Content { hard_state, conf_state, snapshot, entries })))
     }
 
-    /// Takes over entries: they replace all from the first one's place on.
+    /// Appends entries. They replace all entries from the first one's index on.
     pub fn append(&self, entries: &[Entry]) {
-        let mut inner = self.0.borrow_mut();
+        let mut content = self.0.borrow_mut();
         let Some(first) = entries.first() else { return };
-        let start = inner.start().0;
-        let keep = first.index.saturating_sub(start + 1) as usize;
-        inner.entries.truncate(keep);
-        inner.entries.extend(entries.iter().cloned());
+        let (snapshot_index, _) = content.snapshot_position();
+        let kept = first.index.saturating_sub(snapshot_index + 1) as usize;
+        content.entries.truncate(kept);
+        content.entries.extend(entries.iter().cloned());
     }
 
-    pub fn set_hard(&self, hard: &HardState) {
-        self.0.borrow_mut().hard = hard.clone();
+    pub fn set_hard_state(&self, hard_state: &HardState) {
+        self.0.borrow_mut().hard_state = hard_state.clone();
     }
 
-    /// Puts a snapshot in place of the entries up to it.
-    pub fn install(&self, snapshot: Snapshot) {
-        let mut inner = self.0.borrow_mut();
-        let (index, start) = (snapshot.get_metadata().index, inner.start().0);
-        let gone = (index.saturating_sub(start) as usize).min(inner.entries.len());
-        inner.entries.drain(..gone);
-        inner.snapshot = snapshot;
+    /// Replaces the snapshot, and removes the entries that the new one covers.
+    pub fn install_snapshot(&self, snapshot: Snapshot) {
+        let mut content = self.0.borrow_mut();
+        let (old_index, _) = content.snapshot_position();
+        let covered = snapshot.get_metadata().index.saturating_sub(old_index) as usize;
+        let covered = covered.min(content.entries.len());
+        content.entries.drain(..covered);
+        content.snapshot = snapshot;
     }
 
-    pub fn start(&self) -> u64 {
-        self.0.borrow().start().0
+    /// The index of the last entry that the snapshot covers; 0 without a snapshot.
+    pub fn snapshot_index(&self) -> u64 {
+        self.0.borrow().snapshot_position().0
     }
 
     pub fn voters(&self) -> Vec<u64> {
-        self.0.borrow().voters.voters.clone()
+        self.0.borrow().conf_state.voters.clone()
     }
 }
 
-impl Storage for Log {
+impl Storage for LogStorage {
     fn initial_state(&self) -> Result<RaftState> {
-        let inner = self.0.borrow();
-        Ok(RaftState { hard_state: inner.hard.clone(), conf_state: inner.voters.clone() })
+        let content = self.0.borrow();
+        Ok(RaftState { hard_state: content.hard_state.clone(), conf_state: content.conf_state.clone() })
     }
 
     fn entries(
@@ -90,46 +96,46 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        let inner = self.0.borrow();
-        let start = inner.start().0;
-        if low <= start {
+        let content = self.0.borrow();
+        let (snapshot_index, _) = content.snapshot_position();
+        if low <= snapshot_index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > inner.last() + 1 {
+        if high > content.last_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let (from, to) = ((low - start - 1) as usize, (high - start - 1) as usize);
-        let mut entries: Vec<Entry> = inner.entries.range(from..to).cloned().collect();
+        let (from, to) = ((low - snapshot_index - 1) as usize, (high - snapshot_index - 1) as usize);
+        let mut entries: Vec<Entry> = content.entries.range(from..to).cloned().collect();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        let inner = self.0.borrow();
-        let (start, term) = inner.start();
-        if index == start {
-            return Ok(term);
+        let content = self.0.borrow();
+        let (snapshot_index, snapshot_term) = content.snapshot_position();
+        if index == snapshot_index {
+            return Ok(snapshot_term);
         }
-        if index < start {
+        if index < snapshot_index {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let entry = inner.entries.get((index - start - 1) as usize);
+        let entry = content.entries.get((index - snapshot_index - 1) as usize);
         entry.map(|entry| entry.term).ok_or(Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.0.borrow().start().0 + 1)
+        Ok(self.0.borrow().snapshot_position().0 + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.0.borrow().last())
+        Ok(self.0.borrow().last_index())
     }
 
-    fn snapshot(&self, at_least: u64, _to: u64) -> Result<Snapshot> {
-        let inner = self.0.borrow();
-        if inner.start().0 < at_least.max(1) {
+    fn snapshot(&self, request_index: u64, _to: u64) -> Result<Snapshot> {
+        let content = self.0.borrow();
+        if content.snapshot_position().0 < request_index.max(1) {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
-        Ok(inner.snapshot.clone())
+        Ok(content.snapshot.clone())
     }
 }
--- a/crates/replica/src/raftloop.rs
+++ b/crates/replica/src/raftloop.rs
@@ -1,4 +1,5 @@
-//! The loop that owns Raft and the state: messages in, effects out.
+//! The event loop of a replica, which owns Raft and the state. It takes messages from the sockets, the disk and the
+//! timer, and carries out what Raft asks for in return.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::mpsc::SyncSender;
@@ -12,100 +13,108 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::config::Config;
-use crate::disk_writer::Job;
-use crate::log_storage::Log;
-use crate::peers::Links;
-use crate::watches::{Feed, Feeds, Kind};
+use crate::disk_writer::WriteJob;
+use crate::log_storage::LogStorage;
+use crate::peers::PeerLinks;
+use crate::watches::{WatchKind, WatchRequest, Watches};
 use crate::wire;
 
-/// What the loop is told.
-pub enum Msg {
+/// A message to the event loop.
+pub enum LoopMessage {
+    /// One tick of Raft's clock.
     Tick,
+    /// A Raft message from a peer.
     Raft(wire::Message),
     Propose {
         proposal: Proposal,
-        reply: oneshot::Sender<Answer>,
+        reply: oneshot::Sender<ProposalResult>,
     },
-    /// A look at the state.
-    Ask(Box<dyn FnOnce(&View<'_>) + Send>),
-    Watch(Feed),
-    /// The disk has all up to this number.
+    /// Runs a function on the state.
+    Query(Box<dyn FnOnce(&StateView<'_>) + Send>),
+    OpenWatch(WatchRequest),
+    /// All writes up to the one with this number are on disk.
     Persisted(u64),
+    /// A write failed, for this reason.
     DiskFailed(String),
-    /// A peer's link failed.
-    Unreachable(u64),
+    /// The connection to this peer failed.
+    PeerUnreachable(u64),
 }
 
-/// What became of a proposal.
+/// The result of proposing a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// It was applied.
+pub enum ProposalResult {
+    /// The command was committed and applied.
     Outcome(Outcome),
-    /// This replica does not lead; the one that does, where it is known. Nothing happened.
+    /// This replica is not the leader; the id is the leader's, if it is known. The command was not applied.
     NotLeader(Option<u64>),
-    /// It may have happened, or may yet.
+    /// The command may have been applied, or may still be.
     Unknown,
-    /// Too many wait. Nothing happened.
-    Full,
+    /// Too many commands are pending. The command was not applied.
+    Overloaded,
 }
 
-/// What a question sees.
-pub struct View<'a> {
+/// The state of a replica, as a query sees it.
+pub struct StateView<'a> {
     pub state: &'a State,
     pub id: u64,
     pub leader: Option<u64>,
     pub term: u64,
-    pub leads: bool,
+    pub is_leader: bool,
 }
 
-/// A replica is stale no sooner than this after it last heard of the passing of time.
-const LEAST_STALE: Duration = Duration::from_secs(1);
-/// Messages that are taken before Raft is asked what follows.
-const BATCH: usize = 256;
+/// A replica is stale if its log time has not advanced for this many of the intervals at which the leader advances it.
+const STALE_AFTER_CLOCK_INTERVALS: u64 = 4;
+/// However short the interval is, a replica is not stale before its log time has stood still for this long.
+const MIN_STALE_AFTER: Duration = Duration::from_secs(1);
+/// How many messages are handled before Raft's output is processed.
+const MAX_MESSAGES_PER_ROUND: usize = 256;
 
+/// A replica's Raft node, with the state that the committed entries are applied to.
 pub struct Replica {
     config: Config,
-    node: RawNode<Log>,
-    log: Log,
+    raft_node: RawNode<LogStorage>,
+    log_storage: LogStorage,
     state: State,
-    links: Links,
-    disk: SyncSender<Job>,
-    /// What may be sent once the disk has all up to a number.
-    waiting: VecDeque<(u64, Vec<RaftMessage>)>,
-    /// Proposals of this replica that are not applied yet, by the number in their entry.
-    pending: HashMap<u64, oneshot::Sender<Answer>>,
-    next: u64,
-    /// This start of the process, so that an entry of an earlier one finds nobody.
-    start: u64,
-    leads: bool,
-    /// When the passing of time was last written.
-    clock: Instant,
-    feeds: Feeds,
-    /// When log time last went on here.
-    heard: Instant,
-    /// A snapshot is being written.
-    snapshotting: bool,
+    links: PeerLinks,
+    disk: SyncSender<WriteJob>,
+    /// Messages that may be sent only after all writes up to a number are on disk, by that number and in its order.
+    messages_awaiting_disk: VecDeque<(u64, Vec<RaftMessage>)>,
+    /// The replies to proposals of this process that are not applied yet, by the number in their entry's context.
+    pending_replies: HashMap<u64, oneshot::Sender<ProposalResult>>,
+    last_proposal_number: u64,
+    /// Identifies this process in the context of its entries, so that entries of an earlier process of this replica
+    /// don't get a reply meant for another proposal.
+    process_start: u64,
+    is_leader: bool,
+    /// Up to when the leader has added the elapsed time to log time.
+    clock_written_until: Instant,
+    watches: Watches,
+    /// When log time last advanced in this replica's state.
+    clock_advanced_at: Instant,
+    /// Whether a snapshot is being written.
+    is_writing_snapshot: bool,
 }
 
 impl Replica {
+    /// Creates the replica from what its file holds. A replica without peers starts an election at once.
     pub fn new(
         config: Config,
-        found: StoredState,
-        links: Links,
-        disk: SyncSender<Job>,
+        stored: StoredState,
+        links: PeerLinks,
+        disk: SyncSender<WriteJob>,
     ) -> anyhow::Result<Replica> {
         let mut voters: Vec<u64> = config.peers.iter().map(|peer| peer.id).chain([config.id]).collect();
         voters.sort_unstable();
-        let (state, applied) = match &found.snapshot {
+        let (state, applied) = match &stored.snapshot {
             Some(snapshot) => (
                 postcard::from_bytes(&snapshot.data)
-                    .context("the snapshot's state can't be read: restore a copy")?,
+                    .context("the state in the snapshot can't be decoded: restore a copy")?,
                 snapshot.index,
             ),
             None => (State::new(config.state.clone()), 0),
         };
-        let log = Log::new(found, voters);
-        let raft = raft::Config {
+        let log_storage = LogStorage::new(stored, voters);
+        let raft_config = raft::Config {
             id: config.id,
             election_tick: config.election_ticks,
             heartbeat_tick: config.heartbeat_ticks,
@@ -118,229 +127,255 @@
             ..raft::Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let mut node = RawNode::new(&raft, log.clone(), &logger).context("Raft")?;
+        let mut raft_node = RawNode::new(&raft_config, log_storage.clone(), &logger).context("Raft")?;
         if config.peers.is_empty() {
-            node.campaign().context("Raft")?;
+            raft_node.campaign().context("Raft")?;
         }
-        let start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
+        let process_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
         Ok(Replica {
-            feeds: Feeds::new(config.watches),
+            watches: Watches::new(config.max_watches),
             config,
-            node,
-            log,
+            raft_node,
+            log_storage,
             state,
             links,
             disk,
-            waiting: VecDeque::new(),
-            pending: HashMap::new(),
-            next: 0,
-            start,
-            leads: false,
-            clock: Instant::now(),
-            heard: Instant::now(),
-            snapshotting: false,
+            messages_awaiting_disk: VecDeque::new(),
+            pending_replies: HashMap::new(),
+            last_proposal_number: 0,
+            process_start,
+            is_leader: false,
+            clock_written_until: Instant::now(),
+            clock_advanced_at: Instant::now(),
+            is_writing_snapshot: false,
         })
     }
 
-    pub async fn run(mut self, mut rx: mpsc::Receiver<Msg>) -> anyhow::Result<()> {
-        self.advance()?;
-        while let Some(msg) = rx.recv().await {
-            self.take(msg)?;
-            for _ in 1..BATCH {
-                let Ok(msg) = rx.try_recv() else { break };
-                self.take(msg)?;
+    /// Runs the event loop until all senders of messages are gone.
+    ///
+    /// # Errors
+    ///
+    /// A write to disk failed, or an entry or a snapshot can't be decoded.
+    pub async fn run(mut self, mut loop_rx: mpsc::Receiver<LoopMessage>) -> anyhow::Result<()> {
+        self.process_raft_output()?;
+        while let Some(message) = loop_rx.recv().await {
+            self.handle_message(message)?;
+            for _ in 1..MAX_MESSAGES_PER_ROUND {
+                let Ok(message) = loop_rx.try_recv() else { break };
+                self.handle_message(message)?;
             }
-            self.advance()?;
+            self.process_raft_output()?;
         }
         Ok(())
     }
 
-    fn take(&mut self, msg: Msg) -> anyhow::Result<()> {
-        match msg {
-            Msg::Tick => {
-                self.node.tick();
-                self.write_clock();
+    fn handle_message(&mut self, message: LoopMessage) -> anyhow::Result<()> {
+        match message {
+            LoopMessage::Tick => {
+                self.raft_node.tick();
+                self.propose_clock_tick();
                 if self.is_stale() {
-                    self.feeds.close_agents();
+                    self.watches.close_agent_watches();
                 }
-                self.feeds.beat();
+                self.watches.send_heartbeats();
             }
-            Msg::Raft(message) => {
+            LoopMessage::Raft(message) => {
                 if let Some(message) = message.into_raft() {
-                    // What does not fit the present term is refused by Raft itself.
-                    if let Err(error) = self.node.step(message) {
-                        tracing::debug!(%error, "a peer's message was refused");
+                    // Raft itself rejects messages that don't fit the current term.
+                    if let Err(error) = self.raft_node.step(message) {
+                        tracing::debug!(%error, "Raft rejected a message of a peer");
                     }
                 }
             }
-            Msg::Propose { proposal, reply } => self.propose(&proposal, Some(reply)),
-            Msg::Ask(look) => {
-                let leader = Some(self.node.raft.leader_id).filter(|&leader| leader > 0);
-                let (id, term, leads) = (self.config.id, self.node.raft.term, self.leads);
-                look(&View { state: &self.state, id, leader, term, leads });
+            LoopMessage::Propose { proposal, reply } => self.propose(&proposal, Some(reply)),
+            LoopMessage::Query(query) => {
+                let leader = Some(self.raft_node.raft.leader_id).filter(|&leader| leader > 0);
+                let (id, term, is_leader) = (self.config.id, self.raft_node.raft.term, self.is_leader);
+                query(&StateView { state: &self.state, id, leader, term, is_leader });
             }
-            Msg::Watch(feed) if feed.kind == Kind::Agent && self.is_stale() => {
-                let _ = feed.opened.send(Err("nothing new is heard here: ask another replica"));
+            LoopMessage::OpenWatch(request) if request.kind == WatchKind::Agent && self.is_stale() => {
+                let _ = request.opened.send(Err("this replica is out of date: watch another one"));
             }
-            Msg::Watch(feed) => self.feeds.add(feed, &self.state),
-            Msg::Persisted(number) => self.persisted(number),
-            Msg::DiskFailed(why) => anyhow::bail!("{why}"),
-            Msg::Unreachable(id) => {
-                self.node.report_unreachable(id);
-                self.node.report_snapshot(id, SnapshotStatus::Failure);
+            LoopMessage::OpenWatch(request) => self.watches.open(request, &self.state),
+            LoopMessage::Persisted(number) => self.handle_persisted(number),
+            LoopMessage::DiskFailed(reason) => anyhow::bail!("{reason}"),
+            LoopMessage::PeerUnreachable(id) => {
+                self.raft_node.report_unreachable(id);
+                self.raft_node.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
         Ok(())
     }
 
-    /// Whether this replica is cut off from the log, or lags: whoever watches it would take it for silence of the
-    /// whole registry. The leader writes the passing of time, so a replica that keeps up hears of it.
+    /// Whether this replica is cut off from the leader or lags behind. An agent that watched it would take the whole
+    /// registry for silent. The leader advances log time regularly, so log time advances on a replica that keeps up.
     fn is_stale(&self) -> bool {
-        self.heard.elapsed() > Duration::from_millis(self.config.clock_ms * 4).max(LEAST_STALE)
+        let intervals = Duration::from_millis(self.config.clock_interval_ms * STALE_AFTER_CLOCK_INTERVALS);
+        self.clock_advanced_at.elapsed() > intervals.max(MIN_STALE_AFTER)
     }
 
-    /// The leader writes how much time has passed. A new one begins at nothing: no lease runs while nobody leads.
-    fn write_clock(&mut self) {
-        if !self.leads || self.clock.elapsed() < Duration::from_millis(self.config.clock_ms) {
+    /// If this replica is the leader, proposes to advance log time by the time that has elapsed. A new leader counts
+    /// from its election, so that no lease runs out while there is no leader.
+    fn propose_clock_tick(&mut self) {
+        let interval = Duration::from_millis(self.config.clock_interval_ms);
+        if !self.is_leader || self.clock_written_until.elapsed() < interval {
             return;
         }
-        let elapsed_ms = self.clock.elapsed().as_millis() as u64;
-        self.clock += Duration::from_millis(elapsed_ms);
+        let elapsed_ms = self.clock_written_until.elapsed().as_millis() as u64;
+        self.clock_written_until += Duration::from_millis(elapsed_ms);
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let command = Command::Tick { elapsed_ms, unix_ms };
         self.propose(&Proposal { request: String::new(), command }, None);
     }
 
-    fn propose(&mut self, proposal: &Proposal, reply: Option<oneshot::Sender<Answer>>) {
-        let refuse = |reply: Option<oneshot::Sender<Answer>>, answer| {
+    /// Proposes a command to Raft. The reply is sent when the command is applied, or at once if it is not proposed.
+    fn propose(&mut self, proposal: &Proposal, reply: Option<oneshot::Sender<ProposalResult>>) {
+        let refuse = |reply: Option<oneshot::Sender<ProposalResult>>, result| {
             if let Some(reply) = reply {
-                let _ = reply.send(answer);
+                let _ = reply.send(result);
             }
         };
-        if !self.leads {
-            let leader = Some(self.node.raft.leader_id).filter(|&id| id > 0 && id != self.config.id);
-            return refuse(reply, Answer::NotLeader(leader));
+        if !self.is_leader {
+            let leader = Some(self.raft_node.raft.leader_id).filter(|&id| id > 0 && id != self.config.id);
+            return refuse(reply, ProposalResult::NotLeader(leader));
         }
-        if reply.is_some() && self.pending.len() >= self.config.pending {
-            return refuse(reply, Answer::Full);
+        if reply.is_some() && self.pending_replies.len() >= self.config.max_pending {
+            return refuse(reply, ProposalResult::Overloaded);
         }
-        let Ok(data) = postcard::to_stdvec(proposal) else { return refuse(reply, Answer::Full) };
-        self.next += 1;
-        let context = postcard::to_stdvec(&(self.config.id, self.start, self.next)).unwrap_or_default();
-        match self.node.propose(context, data) {
-            Ok(()) => drop(reply.map(|reply| self.pending.insert(self.next, reply))),
-            // Too much waits for the others, or the lead has just gone.
-            Err(_) => refuse(reply, Answer::Full),
+        let Ok(data) = postcard::to_stdvec(proposal) else {
+            return refuse(reply, ProposalResult::Overloaded);
+        };
+        self.last_proposal_number += 1;
+        let context = (self.config.id, self.process_start, self.last_proposal_number);
+        let context = postcard::to_stdvec(&context).unwrap_or_default();
+        match self.raft_node.propose(context, data) {
+            Ok(()) => drop(reply.map(|reply| self.pending_replies.insert(self.last_proposal_number, reply))),
+            // Too many entries are not committed yet, or this replica has just lost the leadership.
+            Err(_) => refuse(reply, ProposalResult::Overloaded),
         }
     }
 
-    /// Carries out what Raft asks for, until it asks for nothing.
-    fn advance(&mut self) -> anyhow::Result<()> {
-        while self.node.has_ready() {
-            let mut ready = self.node.ready();
-            if let Some(soft) = ready.ss() {
-                self.role_changed(soft.raft_state == StateRole::Leader);
+    /// Carries out what Raft asks for, until it asks for nothing more: sends messages, writes entries and the hard
+    /// state, and applies committed entries.
+    fn process_raft_output(&mut self) -> anyhow::Result<()> {
+        while self.raft_node.has_ready() {
+            let mut ready = self.raft_node.ready();
+            if let Some(soft_state) = ready.ss() {
+                self.update_role(soft_state.raft_state == StateRole::Leader);
             }
-            self.send(ready.take_messages());
+            self.send_messages(ready.take_messages());
             let mut batch = Batch::default();
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
-                self.state =
-                    postcard::from_bytes(&snapshot.data).context("the leader's snapshot can't be read")?;
-                batch.snapshot = Some(wire::snapshot(&snapshot));
-                self.log.install(snapshot);
-                self.feeds.push(&self.state);
+                self.state = postcard::from_bytes(&snapshot.data)
+                    .context("the snapshot that the leader sent can't be decoded")?;
+                batch.snapshot = Some(wire::from_raft_snapshot(&snapshot));
+                self.log_storage.install_snapshot(snapshot);
+                self.watches.send_updates(&self.state);
             }
-            self.log.append(ready.entries());
-            batch.entries = ready.entries().iter().map(wire::entry).collect();
-            if let Some(hard) = ready.hs() {
-                self.log.set_hard(hard);
-                batch.hard_state = Some(HardState { term: hard.term, vote: hard.vote, commit: hard.commit });
+            self.log_storage.append(ready.entries());
+            batch.entries = ready.entries().iter().map(wire::from_raft_entry).collect();
+            if let Some(hard_state) = ready.hs() {
+                self.log_storage.set_hard_state(hard_state);
+                let (term, vote, commit) = (hard_state.term, hard_state.vote, hard_state.commit);
+                batch.hard_state = Some(HardState { term, vote, commit });
             }
-            let (number, after) = (ready.number(), ready.take_persisted_messages());
+            let (number, messages) = (ready.number(), ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
-            let nothing = batch.entries.is_empty() && batch.hard_state.is_none() && batch.snapshot.is_none();
-            let at_once = nothing && self.waiting.is_empty();
-            self.waiting.push_back((number, after));
-            if !at_once {
-                self.write(Job { number: Some(number), batch })?;
+            let is_batch_empty =
+                batch.entries.is_empty() && batch.hard_state.is_none() && batch.snapshot.is_none();
+            // Without anything to write and without earlier writes in progress, there is no need to wait for the disk.
+            let skips_disk = is_batch_empty && self.messages_awaiting_disk.is_empty();
+            self.messages_awaiting_disk.push_back((number, messages));
+            if !skips_disk {
+                self.queue_write(WriteJob { number: Some(number), batch })?;
             }
-            self.node.advance_append_async(ready);
-            self.apply(committed)?;
-            if at_once {
-                self.persisted(number);
+            self.raft_node.advance_append_async(ready);
+            self.apply_entries(committed)?;
+            if skips_disk {
+                self.handle_persisted(number);
             }
         }
         self.snapshot_if_due()
     }
 
-    fn write(&self, job: Job) -> anyhow::Result<()> {
+    fn queue_write(&self, job: WriteJob) -> anyhow::Result<()> {
         self.disk.send(job).map_err(|_| anyhow::anyhow!("the writer thread ended"))
     }
 
-    fn persisted(&mut self, number: u64) {
-        self.node.on_persist_ready(number);
-        while self.waiting.front().is_some_and(|(waits, _)| *waits <= number) {
-            if let Some((_, messages)) = self.waiting.pop_front() {
-                self.send(messages);
+    /// Tells Raft that all writes up to a number are on disk, and sends the messages that waited for them.
+    fn handle_persisted(&mut self, number: u64) {
+        self.raft_node.on_persist_ready(number);
+        while self.messages_awaiting_disk.front().is_some_and(|(awaited, _)| *awaited <= number) {
+            if let Some((_, messages)) = self.messages_awaiting_disk.pop_front() {
+                self.send_messages(messages);
             }
         }
-        self.snapshotting &= !self.waiting.is_empty();
+        self.is_writing_snapshot &= !self.messages_awaiting_disk.is_empty();
     }
 
-    fn send(&self, messages: Vec<RaftMessage>) {
+    fn send_messages(&self, messages: Vec<RaftMessage>) {
         messages.iter().for_each(|message| self.links.send(wire::Message::from_raft(message)));
     }
 
-    fn role_changed(&mut self, leads: bool) {
-        if leads && !self.leads {
-            self.clock = Instant::now();
-            tracing::info!(term = self.node.raft.term, "leads");
+    fn update_role(&mut self, is_leader: bool) {
+        if is_leader && !self.is_leader {
+            self.clock_written_until = Instant::now();
+            tracing::info!(term = self.raft_node.raft.term, "leads");
         }
-        if !leads && self.leads {
-            tracing::info!(term = self.node.raft.term, "leads no longer");
-            // They may be in the log of the next leader, or not.
-            self.pending.drain().for_each(|(_, reply)| drop(reply.send(Answer::Unknown)));
+        if !is_leader && self.is_leader {
+            tracing::info!(term = self.raft_node.raft.term, "lost the leadership");
+            // The pending proposals may or may not be in the log of the next leader.
+            self.pending_replies.drain().for_each(|(_, reply)| drop(reply.send(ProposalResult::Unknown)));
         }
-        self.leads = leads;
+        self.is_leader = is_leader;
     }
 
-    fn apply(&mut self, committed: Vec<Entry>) -> anyhow::Result<()> {
-        let Some(last) = committed.last().map(|entry| entry.index) else { return Ok(()) };
-        let clock = self.state.now();
+    /// Applies committed entries to the state, replies to the proposals of this process among them, and updates the
+    /// watches.
+    fn apply_entries(&mut self, committed: Vec<Entry>) -> anyhow::Result<()> {
+        let Some(last_index) = committed.last().map(|entry| entry.index) else { return Ok(()) };
+        let clock_before = self.state.now();
         for entry in &committed {
+            // Raft appends an empty entry at the start of each term.
             if entry.data.is_empty() {
                 continue;
             }
             let proposal: Proposal = postcard::from_bytes(&entry.data).with_context(|| {
-                format!("entry {} is of a form that this version does not know: run a newer one", entry.index)
+                format!("entry {} has a format that this version does not know: run a newer one", entry.index)
             })?;
             let outcome = self.state.apply(entry.index, &proposal);
-            let from: Option<(u64, u64, u64)> = postcard::from_bytes(&entry.context).ok();
-            let own = from.filter(|&(id, start, _)| (id, start) == (self.config.id, self.start));
-            if let Some(reply) = own.and_then(|(_, _, number)| self.pending.remove(&number)) {
-                let _ = reply.send(Answer::Outcome(outcome));
+            let context: Option<(u64, u64, u64)> = postcard::from_bytes(&entry.context).ok();
+            let own_context =
+                context.filter(|&(id, start, _)| (id, start) == (self.config.id, self.process_start));
+            if let Some(reply) = own_context.and_then(|(_, _, number)| self.pending_replies.remove(&number)) {
+                let _ = reply.send(ProposalResult::Outcome(outcome));
             }
         }
-        self.node.advance_apply_to(last);
-        if self.state.now() != clock {
-            self.heard = Instant::now();
+        self.raft_node.advance_apply_to(last_index);
+        if self.state.now() != clock_before {
+            self.clock_advanced_at = Instant::now();
         }
-        self.feeds.push(&self.state);
+        self.watches.send_updates(&self.state);
         Ok(())
     }
 
-    /// Replaces the log by the state, once it has grown enough since the last time.
+    /// Replaces the log by a snapshot of the state if enough entries were applied since the last snapshot.
     fn snapshot_if_due(&mut self) -> anyhow::Result<()> {
-        let applied = self.node.raft.raft_log.applied;
-        if self.snapshotting || applied < self.log.start() + self.config.snapshot_every {
+        let applied = self.raft_node.raft.raft_log.applied;
+        let due_index = self.log_storage.snapshot_index() + self.config.snapshot_interval_entries;
+        if self.is_writing_snapshot || applied < due_index {
             return Ok(());
         }
-        let term = self.node.raft.raft_log.term(applied).context("the term of an applied entry")?;
+        let term = self.raft_node.raft.raft_log.term(applied).context("the term of an applied entry")?;
         let data = postcard::to_stdvec(&self.state).context("the state")?;
-        let snapshot = store::Snapshot { index: applied, term, voters: self.log.voters(), data };
-        self.log.install(wire::raft_snapshot(snapshot.clone()));
+        let snapshot = store::Snapshot { index: applied, term, voters: self.log_storage.voters(), data };
+        self.log_storage.install_snapshot(wire::to_raft_snapshot(snapshot.clone()));
         tracing::info!(index = applied, bytes = snapshot.data.len(), "snapshot");
-        self.write(Job { number: None, batch: Batch { snapshot: Some(snapshot), ..Batch::default() } })
+        self.queue_write(WriteJob {
+            number: None,
+            batch: Batch { snapshot: Some(snapshot), ..Batch::default() },
+        })
     }
 }
