--- a/src/bin/woodgap/client_connection.rs
+++ b/src/bin/woodgap/client_connection.rs
@@ -34,10 +34,10 @@
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest idle time between two requests.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(60);
-/// When client sockets are short, a connection without an open request may be closed after it was
-/// idle for this long...
+/// When client sockets are short, a connection that was idle between two requests for this long may be closed.
 const EVICTABLE_IDLE: Duration = Duration::from_secs(2);
-/// ...or, before its first request, after this shorter time.
+/// When client sockets are short, a connection that was open for this long without a first request may be
+/// closed.
 const EVICTABLE_UNUSED: Duration = Duration::from_millis(500);
 /// Most bytes that are kept of what arrives behind an open request. Clients normally send one request at a time.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -41,10 +41,10 @@
 const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
 /// How long after SIGTERM idle connections stay open. New connections and requests arrive for up to 0.4 s.
 const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(600);
-/// After SIGTERM the platform may kill the process once the longest deadline of a class, of which at most
-/// this time counts, and `KILL_GRACE` have passed. Requests that arrive after SIGTERM are answered by then.
+/// After SIGTERM the platform lets the process run for the longest deadline of a class, limited to this time,
+/// plus `KILL_GRACE`. Then it may kill the process, so requests that arrive after SIGTERM are answered by then.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
-/// How long the platform waits beyond the longest deadline before it may kill the process.
+/// See `MAX_DEADLINE_BEFORE_KILL`.
 const KILL_GRACE: Duration = Duration::from_millis(650);
 /// How long a draining node goes on after its last connection closed, for connections in the listener's
 /// backlog.
@@ -54,10 +54,11 @@
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// The `Retry-After` of a node without room for a further connection or request.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Above this part of the client sockets in use, a connection is closed after its first response...
+/// Above this fraction of the client sockets in use, a connection is closed after its first response. Otherwise
+/// a crowd of clients that send one request and stay connected would keep others out until their connections
+/// may be evicted.
 const CLOSE_AFTER_FIRST_RESPONSE_FRACTION: f64 = 0.6;
-/// ...and above this part after any response. Otherwise a crowd of clients that send one request and stay
-/// connected would keep others out until their connections may be evicted.
+/// Above this fraction of the client sockets in use, a connection is closed after any response.
 const CLOSE_AFTER_ANY_RESPONSE_FRACTION: f64 = 0.9;
 /// How often connections are checked for overdue requests.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -69,6 +70,7 @@
 /// State shared by all client connections.
 pub struct Clients {
     settings: Settings,
+    /// The names of the classes and tenants in the settings.
     names: RequestNames,
     max_open_requests: usize,
     servers: Rc<Servers>,
@@ -282,7 +284,7 @@
         self.connection_closed.notify_waiters();
     }
 
-    /// Drains after SIGTERM: serves on while clients still send, then closes idle connections and returns
+    /// Drains after SIGTERM: keeps serving for `IDLE_CLOSE_DELAY`, then closes idle connections and returns
     /// once all connections have ended, or the longest deadline has passed.
     pub async fn drain(&self) {
         let longest_us = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
--- a/src/bin/woodgap/discovery/watch_loop.rs
+++ b/src/bin/woodgap/discovery/watch_loop.rs
@@ -25,7 +25,7 @@
 /// every 2 s; half a second is added for delays.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The longest time that a try at an agent may wait for its first line. The oldest try is kept that long, so that
-/// an agent that answers late but in order gets to it.
+/// a slow agent that answers the tries in order reaches one before it is dropped.
 const AGENT_TRY_TIMEOUT: Duration = Duration::from_millis(3_500);
 /// The most tries at an agent that are open at a time: the oldest one and the latest ones.
 const MAX_AGENT_TRIES: usize = 4;
--- a/src/bin/woodgap/exchange.rs
+++ b/src/bin/woodgap/exchange.rs
@@ -276,10 +276,12 @@
 /// Classifies a response. Only the header `x-turned-away: 1` proves that the server rejected the request
 /// without running it: a 503 or 504 without the header may come from a request that ran.
 pub fn classify_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let was_rejected_unrun = headers.get("x-turned-away").is_some_and(|value| value == "1");
+    let was_rejected_without_running = headers.get("x-turned-away").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if was_rejected_unrun => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if was_rejected_without_running => {
+            Outcome::Full
+        }
         _ => Outcome::Error,
     }
 }
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -1,7 +1,7 @@
 //! One node of the load balancer, on real sockets. `deploy/balancer.toml` shows how it is deployed.
 //!
-//! This program makes no decisions by itself. It turns what happens on its sockets into events for the policy
-//! (`woodgap::Balancer`) and carries out the actions that the policy returns.
+//! This program makes no decisions by itself. It turns what happens on its sockets into events for the balancer
+//! ([`woodgap::Balancer`]) and executes the actions that the balancer returns.
 #![forbid(unsafe_code)]
 
 mod client_connection;
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! Tests that run the node's binary over loopback sockets, with test servers and a test discovery service.
+//! Tests that run the node's binary over loopback sockets, with fake servers and a fake discovery service.
 
 mod disconnects;
 mod harness;
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_all_servers_rejected_unrun_is_refused() {
+fn an_unsafe_request_that_no_server_ran_is_refused() {
     let harness = Harness::new(2);
     harness.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
     let response = harness.send_request("pay", "1");
--- a/tests/node/tenancy.rs
+++ b/tests/node/tenancy.rs
@@ -39,7 +39,7 @@
             let id = format!("{round}-{class}-{semantics}-{tenant}");
             harness.send_raw(&request_with(class, semantics, tenant, &id)).status()
         };
-        // A class has the semantics of its own deployment, whatever another gives the same name.
+        // A class has the semantics of its own deployment, whatever another one gives to the same name.
         assert_eq!(
             [status_of(&first, "pay", "unsafe", "acme"), status_of(&second, "pay", "unsafe", "bravo")],
             [200, 400]
@@ -61,7 +61,8 @@
             [400, 400]
         );
     }
-    // So with times and `Retry-After`: the second one gives up within its 400 ms and sends no `Retry-After`.
+    // The same holds for times and `Retry-After`: the second deployment gives up within its 400 ms and sends no
+    // `Retry-After`.
     second.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
     first.set_behavior(Behavior::RespondEmpty("503 Full\r\nX-Turned-Away: 1"));
     let refused = first.send_raw(&request_with("pay", "unsafe", "acme", "r1"));
