--- a/crates/audit/src/escalation.rs
+++ b/crates/audit/src/escalation.rs
@@ -238,7 +238,7 @@
             }
             OperatorCommand::ResumeFloor => {
                 let revision = self.halted_revision.take().unwrap_or(0);
-                self.revisions.clear_suspicions(revision);
+                self.revisions.clear_failed_nodes(revision);
                 self.append_history(AuditRecord::FloorResumed { revision, operator, reason });
             }
             OperatorCommand::AdmitNode(name) => {
--- a/crates/audit/src/floor.rs
+++ b/crates/audit/src/floor.rs
@@ -3,7 +3,7 @@
 use crate::{Admission, Audit, AuditRecord, Revision};
 
 impl Audit {
-    /// Returns the highest floor that refuses no request of a node that is up to date. The node `except`, which is
+    /// Returns the highest floor that refuses no attempt of a node that is up to date. The node `except`, which is
     /// about to be shut out, is not taken into account.
     pub(crate) fn highest_safe_floor(&self, except: Option<&str>) -> Revision {
         let required = self.required_revision(self.now);
@@ -37,12 +37,12 @@
     /// At `crashes_to_halt` nodes the floor is halted below the revision, and no node counts as behind for not
     /// acting on it.
     pub(crate) fn suspect_revision(&mut self, revision: Revision, node: &str, reason: &str) {
-        let suspecting_nodes = self.revisions.add_suspicion(revision, node);
+        let failed_node_count = self.revisions.add_failed_node(revision, node);
         let (node, reason) = (node.to_owned(), reason.to_owned());
-        if suspecting_nodes.is_some() {
+        if failed_node_count.is_some() {
             self.append_history(AuditRecord::RevisionSuspected { revision, node, reason });
         }
-        let must_halt = suspecting_nodes.is_some_and(|count| count >= self.config.crashes_to_halt);
+        let must_halt = failed_node_count.is_some_and(|count| count >= self.config.crashes_to_halt);
         if must_halt && self.halted_revision.is_none_or(|halted| revision < halted) {
             self.halted_revision = Some(revision);
             self.append_history(AuditRecord::FloorHalted { revision });
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -10,8 +10,9 @@
 //!    unavailable: shut out, draining or with an expired lease; one node always may be. A node that falls behind on
 //!    probation is shut out at once. Where more nodes are behind at once than the configuration allows, the cause is
 //!    taken for a shared one: escalation stops there and the history records it.
-//! 4. The floor falls only by an operator's command, never rises above a revision that an up-to-date node still
-//!    uses, and never reaches a revision after which nodes crashed or which they rejected.
+//! 4. Unless an operator sets it, the floor never falls, never rises above a revision that an up-to-date node still
+//!    uses, and never rises to a revision at which it is halted, because nodes crashed after it or rejected it. If
+//!    the floor had passed that revision already, it stays where it is.
 //! 5. The history is bounded and chained by hash, so that a changed or missing entry is detected.
 //!
 //! Time is the registry's log time in milliseconds: it comes with the log, stands still while there is no leader,
--- a/crates/audit/src/queries.rs
+++ b/crates/audit/src/queries.rs
@@ -10,11 +10,12 @@
 pub struct NodeActivity {
     /// The node's name.
     pub node: String,
-    /// The incarnation of the process that acted on the revision last, by the node's reports.
+    /// The incarnation of the process that last reported acting on the revision; without a report, that of the first
+    /// observation.
     pub incarnation: u64,
-    /// The first report or observation of it: the log time at which it was applied, and its own timestamp.
+    /// The first report or observation of the revision: the log time at which it was applied, and its own timestamp.
     pub first: (Ms, Timestamp),
-    /// The last report or observation of it, in the same form.
+    /// The last report or observation of the revision, in the same form.
     pub last: (Ms, Timestamp),
     /// The number of decisions that the node reported.
     #[serde(rename = "decided")]
--- a/crates/audit/src/revisions.rs
+++ b/crates/audit/src/revisions.rs
@@ -10,6 +10,7 @@
 /// What one node did on one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Activity {
+    /// The process that last reported acting on the revision; without a report, that of the first observation.
     pub(crate) incarnation: u64,
     /// The first report or observation: the log time at which it was applied, and its own timestamp.
     pub(crate) first: (Ms, Timestamp),
@@ -53,7 +54,7 @@
     pub(crate) activities: BTreeMap<String, Activity>,
     /// The nodes that crashed after they had acted on this revision, or rejected it.
     #[serde(rename = "against")]
-    pub(crate) suspecting_nodes: BTreeSet<String>,
+    pub(crate) failed_nodes: BTreeSet<String>,
 }
 
 /// A request that reached a server after the server had been told to drain.
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The newest revision that was committed by log time `time` and is less than `limit`, where there is one.
+    /// Returns the newest revision that was committed by log time `time` and, if there is a `limit`, is less than the
+    /// limit. If no kept revision is, returns the newest dropped one, or `limit - 1` if that is less.
     pub(crate) fn newest_committed_by(&self, time: Ms, limit: Option<Revision>) -> Revision {
         let limit = limit.unwrap_or(Revision::MAX);
         let found = self.details.range(..limit).rev().find(|(_, detail)| detail.committed_at <= time);
@@ -216,17 +218,17 @@
         activity.is_some_and(|activity| now.saturating_sub(activity.first.0) <= window_ms)
     }
 
-    /// Counts a node against a revision and returns how many nodes count against it now. `None` if the node had been
-    /// counted before or the revision is not kept.
-    pub(crate) fn add_suspicion(&mut self, revision: Revision, node: &str) -> Option<usize> {
+    /// Counts a node that crashed after it acted on a revision, or rejected it, and returns how many nodes have done
+    /// so. `None` if the node had been counted before or the revision is not kept.
+    pub(crate) fn add_failed_node(&mut self, revision: Revision, node: &str) -> Option<usize> {
         let detail = self.details.get_mut(&revision)?;
-        detail.suspecting_nodes.insert(node.to_owned()).then_some(detail.suspecting_nodes.len())
+        detail.failed_nodes.insert(node.to_owned()).then_some(detail.failed_nodes.len())
     }
 
-    /// Forgets which nodes count against a revision.
-    pub(crate) fn clear_suspicions(&mut self, revision: Revision) {
+    /// Forgets which nodes crashed after they had acted on a revision, or rejected it.
+    pub(crate) fn clear_failed_nodes(&mut self, revision: Revision) {
         if let Some(detail) = self.details.get_mut(&revision) {
-            detail.suspecting_nodes.clear();
+            detail.failed_nodes.clear();
         }
     }
 }
--- a/crates/audit/tests/schedules/world.rs
+++ b/crates/audit/tests/schedules/world.rs
@@ -40,6 +40,7 @@
     pub in_flight: (Revision, Ms),
     /// Since when the present process has acted on every revision that it was required to act on.
     pub up_to_date_since: Option<Ms>,
+    /// Until when the node sends no reports.
     pub silent_until: Ms,
     pub zone: usize,
     /// Whether the lease has expired and the agent has not registered the node again.
@@ -193,7 +194,8 @@
         let (now, newest) = (self.now, self.newest());
         let required_by_next_step = self.required_revision(self.now + MAX_STEP_MS);
         let bad_revision = self.bad_revision;
-        let flaps = self.rng.random_bool(0.03);
+        // Lets a flapping node catch up, or a crashing one crash.
+        let is_triggered = self.rng.random_bool(0.03);
         let goes_silent = self.rng.random_bool(0.01);
         let catches_up = self.rng.random_bool(0.3);
         let required = self.required_revision(now);
@@ -212,7 +214,7 @@
                 }
             }
             Behavior::Flapping => {
-                if flaps || node.acts_on == 0 {
+                if is_triggered || node.acts_on == 0 {
                     node.acts_on = newest;
                 }
             }
@@ -226,7 +228,7 @@
         let is_up_to_date = node.acts_on >= required;
         node.up_to_date_since = if is_up_to_date { node.up_to_date_since.or(Some(now)) } else { None };
         let acts_on_bad = bad_revision.is_some_and(|bad| node.acts_on >= bad);
-        if node.behavior == Behavior::Crashing && acts_on_bad && flaps {
+        if node.behavior == Behavior::Crashing && acts_on_bad && is_triggered {
             self.restart(name);
         }
     }
@@ -245,8 +247,9 @@
     fn send_reports(&mut self, name: &str) {
         let node = self.nodes[name].clone();
         let is_shut_out = self.audit.nodes()[name].admission == Admission::ShutOut;
-        let heard = self.now.saturating_sub(self.rng.random_range(0..400));
-        let at = Timestamp { not_before: heard, unix_ms: self.now };
+        // Log time reaches a node and a server up to 400 ms late.
+        let not_before = self.now.saturating_sub(self.rng.random_range(0..400));
+        let at = Timestamp { not_before, unix_ms: self.now };
         let arrives_at = self.now + self.rng.random_range(0..3_000);
         if node.silent_until < self.now && self.rng.random_bool(0.5) {
             let reported = if node.behavior == Behavior::Misreporting { self.newest() } else { node.acts_on };
--- a/crates/registry/src/command.rs
+++ b/crates/registry/src/command.rs
@@ -38,7 +38,7 @@
         /// The duration of the lease; without one the member stays until it is removed.
         #[serde(default)]
         lease_ms: Option<Ms>,
-        /// What has to be there before.
+        /// The condition on the member under which the command is carried out.
         #[serde(default)]
         expect: Expect,
     },
@@ -48,7 +48,7 @@
         id: String,
         /// The new phase.
         phase: Phase,
-        /// What has to be there before.
+        /// The condition on the member under which the command is carried out.
         #[serde(default)]
         expect: Expect,
     },
@@ -62,7 +62,7 @@
     Remove {
         /// The member's id.
         id: String,
-        /// What has to be there before.
+        /// The condition on the member under which the command is carried out.
         #[serde(default)]
         expect: Expect,
     },
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -94,7 +94,8 @@
     #[serde(rename = "expired")]
     pub(crate) recent_expiries: Vec<(Ms, String)>,
     pub(crate) audit: Audit,
-    /// The log index at which the audit's directives (floor, admissions, escalation steps) may last have changed.
+    /// The log index at which the audit's directives to nodes and their agents (floor, admissions, escalation steps)
+    /// may last have changed.
     #[serde(rename = "directives")]
     pub(crate) directives_version: u64,
 }
@@ -323,8 +324,8 @@
         self.now
     }
 
-    /// A version that changes whenever the audit's directives may have changed: the floor, admissions and escalation
-    /// steps.
+    /// A version that changes whenever the audit's directives to nodes and their agents may have changed: the floor,
+    /// admissions and escalation steps.
     pub fn directives_version(&self) -> u64 {
         self.directives_version
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -28,8 +28,8 @@
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const META_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 /// The name and version of the file format.
 const FORMAT: (&str, u32) = ("fircroft replica", 1);
 
@@ -116,7 +116,7 @@
     },
     /// A record is missing or is not what was written.
     #[error(
-        "{file}: {record}: {what}. Don't start this replica from it: move the file away and let the group send a \
+        "{file}: {record}: {reason}. Don't start this replica from it: move the file away and let the group send a \
          snapshot, or restore a copy"
     )]
     Damaged {
@@ -125,7 +125,7 @@
         /// The record.
         record: String,
         /// What is wrong with the record.
-        what: &'static str,
+        reason: &'static str,
     },
     /// The file has another format or format version.
     #[error(
@@ -215,8 +215,8 @@
         let mut txn = self.db.begin_write()?;
         txn.set_durability(Durability::Immediate)?;
         {
-            let mut log = txn.open_table(LOG)?;
-            let mut meta = txn.open_table(META)?;
+            let mut log = txn.open_table(LOG_TABLE)?;
+            let mut meta = txn.open_table(META_TABLE)?;
             for batch in batches {
                 if let Some(snapshot) = &batch.snapshot {
                     let bytes = record::encode("snapshot", snapshot);
@@ -244,8 +244,8 @@
         let create_tables = || -> Result<(), redb::Error> {
             let txn = self.db.begin_write()?;
             {
-                txn.open_table(LOG)?;
-                let mut meta = txn.open_table(META)?;
+                txn.open_table(LOG_TABLE)?;
+                let mut meta = txn.open_table(META_TABLE)?;
                 let format = (FORMAT.0.to_owned(), FORMAT.1);
                 meta.insert("format", record::encode("format", &format).as_slice())?;
                 meta.insert("owner", record::encode("owner", &owner).as_slice())?;
@@ -261,13 +261,13 @@
         let mut entries: Vec<Entry> = Vec::new();
         let disk_error = |source: redb::Error| Error::Disk { file: self.file.clone(), source };
         let txn = self.db.begin_read().map_err(|error| disk_error(error.into()))?;
-        let log = txn.open_table(LOG).map_err(|error| disk_error(error.into()))?;
+        let log = txn.open_table(LOG_TABLE).map_err(|error| disk_error(error.into()))?;
         let mut next_index = snapshot.as_ref().map_or(1, |snapshot| snapshot.index + 1);
         for row in log.iter().map_err(|error| disk_error(error.into()))? {
             let (index, bytes) = row.map_err(|error| disk_error(error.into()))?;
             let key = entry_key(index.value());
             let entry: Entry =
-                record::decode(&key, bytes.value()).map_err(|what| self.damaged_error(&key, what))?;
+                record::decode(&key, bytes.value()).map_err(|reason| self.damaged_error(&key, reason))?;
             if index.value() != next_index || entry.index != next_index {
                 return Err(self.damaged_error(&key, "the entry before it is missing"));
             }
@@ -284,7 +284,7 @@
     fn read_meta<T: for<'a> Deserialize<'a>>(&self, key: &str) -> Result<Option<T>, Error> {
         let disk_error = |source: redb::Error| Error::Disk { file: self.file.clone(), source };
         let txn = self.db.begin_read().map_err(|error| disk_error(error.into()))?;
-        let meta = match txn.open_table(META) {
+        let meta = match txn.open_table(META_TABLE) {
             Ok(meta) => meta,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             Err(error) => return Err(disk_error(error.into())),
@@ -292,11 +292,11 @@
         let Some(bytes) = meta.get(key).map_err(|error| disk_error(error.into()))? else {
             return Ok(None);
         };
-        record::decode(key, bytes.value()).map(Some).map_err(|what| self.damaged_error(key, what))
+        record::decode(key, bytes.value()).map(Some).map_err(|reason| self.damaged_error(key, reason))
     }
 
-    fn damaged_error(&self, key: &str, what: &'static str) -> Error {
-        Error::Damaged { file: self.file.clone(), record: format!("record '{key}'"), what }
+    fn damaged_error(&self, key: &str, reason: &'static str) -> Error {
+        Error::Damaged { file: self.file.clone(), record: format!("record '{key}'"), reason }
     }
 }
 
@@ -364,7 +364,7 @@
         let replace_record = |store: &Store, index: u64, bytes: Option<&[u8]>| {
             let txn = store.db.begin_write().unwrap();
             {
-                let mut log = txn.open_table(LOG).unwrap();
+                let mut log = txn.open_table(LOG_TABLE).unwrap();
                 match bytes {
                     Some(bytes) => drop(log.insert(index, bytes).unwrap()),
                     None => drop(log.remove(index).unwrap()),
