--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -37,7 +37,7 @@
     /// Run a replica of the registry until a signal stops it
     #[command(
         after_help = "The configuration is the table [registry] of the file that --config names; deploy/registry.toml \
-        configures a group of one replica.\n\nExample:\n  fircroft registry --config deploy/registry.toml"
+        configures a cluster of one replica.\n\nExample:\n  fircroft registry --config deploy/registry.toml"
     )]
     Registry,
     /// Run the agent of a machine until a signal stops it
--- a/crates/cli/src/cold_starts.rs
+++ b/crates/cli/src/cold_starts.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 /// Windows in the report.
-const REPORTED_WINDOWS: usize = 5;
+const MAX_REPORTED_WINDOWS: usize = 5;
 
 /// The settings of the ramp, as the nodes repeat them in each line.
 #[derive(Clone, Copy, Default)]
@@ -123,7 +123,7 @@
         };
         let mut windows: Vec<Window> = self.starts.iter().filter_map(closest).collect();
         windows.sort_by(|a, b| b.ratio.total_cmp(&a.ratio));
-        windows.truncate(REPORTED_WINDOWS);
+        windows.truncate(MAX_REPORTED_WINDOWS);
         windows
     }
 }
--- a/crates/cli/src/daemon.rs
+++ b/crates/cli/src/daemon.rs
@@ -11,28 +11,28 @@
 
 /// Runs a replica of the registry.
 pub fn run_registry(settings: Settings, out: &mut impl Write) -> anyhow::Result<ExitStatus> {
-    let config = settings.registry.ok_or_else(|| missing_table("registry"))?;
-    check_faults(config.validate(), "registry")?;
+    let config = settings.registry.ok_or_else(|| missing_table_error("registry"))?;
+    ensure_valid(config.validate(), "registry")?;
     run_until_stopped(replica::run(config, |addresses| print_ready(out, "registry", addresses)))
 }
 
 /// Runs the agent of a machine.
 pub fn run_agent(settings: Settings, out: &mut impl Write) -> anyhow::Result<ExitStatus> {
-    let config = settings.agent.ok_or_else(|| missing_table("agent"))?;
-    check_faults(config.validate(), "agent")?;
+    let config = settings.agent.ok_or_else(|| missing_table_error("agent"))?;
+    ensure_valid(config.validate(), "agent")?;
     run_until_stopped(agent::run(config, |addresses| print_ready(out, "agent", addresses)))
 }
 
-fn missing_table(table: &str) -> UsageError {
+fn missing_table_error(table: &str) -> UsageError {
     UsageError(format!("no table [{table}] in the configuration: name a file with --config FILE"))
 }
 
-/// Fails if the configuration has faults; the message has one line for each.
-fn check_faults(faults: Vec<String>, table: &str) -> anyhow::Result<()> {
-    if faults.is_empty() {
+/// Fails if there are errors in the configuration; the message has one line for each.
+fn ensure_valid(errors: Vec<String>, table: &str) -> anyhow::Result<()> {
+    if errors.is_empty() {
         return Ok(());
     }
-    let lines: Vec<String> = faults.iter().map(|fault| format!("{table}.{fault}")).collect();
+    let lines: Vec<String> = errors.iter().map(|error| format!("{table}.{error}")).collect();
     Err(UsageError(lines.join("\n")).into())
 }
 
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -106,6 +106,7 @@
         tracing::warn!(file = %name, "ignored in the list: {finding}");
     }
     let in_service = list.entries.into_iter().filter(|entry| entry.state == ServerState::InService);
+    // The policy also replaces a size that is not a positive number by 1.
     let valid_size = |size: f64| if size.is_finite() && size > 0.0 { size } else { 1.0 };
     Ok(in_service.map(|entry| (entry.id, valid_size(entry.size))).collect())
 }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -14,9 +14,8 @@
 fn command(args: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fircroft"));
     // Variables of the test's own environment must not change the result.
-    let configuring =
-        std::env::vars().filter(|(name, _)| name.starts_with("FIRCROFT_") || name == "RUST_LOG");
-    configuring.for_each(|(name, _)| {
+    let inherited = std::env::vars().filter(|(name, _)| name.starts_with("FIRCROFT_") || name == "RUST_LOG");
+    inherited.for_each(|(name, _)| {
         command.env_remove(name);
     });
     command.args(args);
@@ -130,9 +129,9 @@
         (75..=90).contains(&min_slots) && (min_slots..16_381 / 10).contains(&slots),
         "{slots} of {min_slots}"
     );
-    let (_, again, _) =
+    let (_, with_two_flags, _) =
         exit_and_output(&run(&["table", "--servers", "200", "--change=-s-7", "--change=+s-new", "--json"]));
-    assert_eq!(out, again);
+    assert_eq!(out, with_two_flags);
     let (_, unchanged, _) = exit_and_output(&run(&["table", "--servers", "9", "--change", "-s-7,+s-7"]));
     let expected = "the change moves 0 slots (0.00%); lowest possible number 0, ratio none";
     assert!(unchanged.contains(expected), "{unchanged}");
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/woodgap-simhost/main.rs
@@ -108,12 +108,12 @@
                 fields.expect_end()?;
                 let node = self.context_node()?;
                 if self.nodes.remove(&node).is_none() {
-                    return Err(never_started(node));
+                    return Err(never_started_error(node));
                 }
             }
             _ => {
                 let id = self.context_node()?;
-                let node = self.nodes.get_mut(&id).ok_or_else(|| never_started(id))?;
+                let node = self.nodes.get_mut(&id).ok_or_else(|| never_started_error(id))?;
                 let event = wire::parse_event(message, &mut fields, &node.request_names, &self.server_lists)?;
                 fields.expect_end()?;
                 self.deliver(id, event, out)?;
@@ -146,7 +146,7 @@
     }
 }
 
-fn never_started(node: u64) -> InputError {
+fn never_started_error(node: u64) -> InputError {
     InputError::new(format!("node {node} was never started"))
 }
 
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -20,6 +20,7 @@
 }
 
 impl<'a> Fields<'a> {
+    /// The fields of this line, none of which has been read.
     pub fn new(line: &'a str) -> Self {
         Fields { rest: Some(line) }
     }
@@ -35,18 +36,22 @@
         Ok((field != "-" && !field.is_empty()).then_some(field))
     }
 
+    /// Reads the next field; fails if the field is absent.
     pub fn read_text(&mut self, name: &str) -> Result<&'a str, InputError> {
         self.next_field(name)?.ok_or_else(|| InputError::new(format!("field '{name}' is empty")))
     }
 
+    /// Reads a number; `None` if the field is absent.
     pub fn read_optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, InputError> {
         self.next_field(name)?.map(|text| parse_number(text, name)).transpose()
     }
 
+    /// Reads a number; fails if the field is absent.
     pub fn read_number<T: FromStr>(&mut self, name: &str) -> Result<T, InputError> {
         parse_number(self.read_text(name)?, name)
     }
 
+    /// Reads a boolean; an absent field counts as false.
     fn read_bool(&mut self, name: &str) -> Result<bool, InputError> {
         match self.next_field(name)? {
             None | Some("0" | "false") => Ok(false),
--- a/src/config.rs
+++ b/src/config.rs
@@ -70,7 +70,7 @@
     pub dial_timeout: Duration,
     /// Servers close connections that were idle for this long.
     pub keepalive: Duration,
-    /// Time within which requests to a draining server have to stop.
+    /// Time after the start of a server's drain by which the node must no longer send requests to the server.
     pub drain_time: Duration,
     /// Largest number of requests that may be open at a time.
     pub max_open_requests: usize,
@@ -84,7 +84,7 @@
 /// How the capacity of a cold server grows after its start, and what overloads it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ramp {
-    /// Capacity of a server that has just started, as a fraction of its full capacity.
+    /// Least capacity of a server that has just started, as a fraction of its full capacity.
     pub start_capacity: f64,
     /// How long a started server takes to reach its full capacity; until then it is cold.
     pub duration_ms: u64,
@@ -230,8 +230,8 @@
             None if !is_required => None,
             Some(Value::String(text)) if text.parse::<SocketAddr>().is_ok() => text.parse().ok(),
             _ => {
-                let or = variable.map_or(String::new(), |name| format!(", or ${name} set"));
-                self.add_error(key, &format!("{EXPECTED_ADDRESS}{or}"));
+                let alternative = variable.map_or(String::new(), |name| format!(", or ${name} set"));
+                self.add_error(key, &format!("{EXPECTED_ADDRESS}{alternative}"));
                 None
             }
         }
@@ -356,7 +356,7 @@
             );
         }
     }
-    request_names.check(findings);
+    request_names.check_names(findings);
 }
 
 /// Flattens a JSON value into the dotted paths of the simulator's `SPAWN` line: the items of a list of
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -84,7 +84,7 @@
 }
 
 // Guards against defaults that apply unnoticed: each absent setting is reported with the default that is used
-// for it, except for the settings that a site may omit.
+// for it, except for the settings that a deployment may omit.
 #[test]
 fn the_default_of_each_absent_setting_is_reported() {
     let (config, findings) = Config::parse(VALID_CONFIG, &HashMap::new());
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -100,7 +100,7 @@
     }
 
     /// Warns about empty and repeated names: no request can refer to such a class or tenant.
-    pub(crate) fn check(&self, findings: &mut Findings) {
+    pub(crate) fn check_names(&self, findings: &mut Findings) {
         for (list, names) in [("classes", &self.classes), ("tenants", &self.tenants)] {
             for (n, name) in names.iter().enumerate() {
                 let path = format!("settings.{list}[{n}].name");
@@ -162,8 +162,8 @@
     }
 }
 
-/// Settings that the simulator's protocol lets a site omit, and settings that later sites may add. Their
-/// absence means the default and is not reported.
+/// Settings that the simulator's protocol lets a deployment omit, and settings that later deployments may
+/// add. Their absence means the default and is not reported.
 const OPTIONAL_SETTINGS: [&str; 5] = [
     "classes.count",
     "tenants.count",
@@ -318,7 +318,7 @@
     (settings, RequestNames { classes: class_names, tenants: tenant_names })
 }
 
-/// Classes or tenants that the settings may have at most.
+/// The largest number of classes, and of tenants, that the settings may have.
 const MAX_ITEMS: u64 = 10_000;
 
 /// Reads the items `path.0`, `path.1` and so on, up to the number at `path.count`, with their names.
