--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -24,9 +24,9 @@
 pub const WATCH_QUEUE_LINES: usize = 64;
 /// How many watches can be open.
 const MAX_WATCHES: usize = 64;
-/// How long a batch of reports is tried in one go; it is retried in full afterwards.
+/// How long the client tries to send a batch of reports, before the loop starts over with the same batch.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long each command of a renewal is tried.
+/// How long the client tries to send each command of a renewal.
 const RENEWAL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long the host may take to accept a restart.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(2);
@@ -81,11 +81,12 @@
     /// Whether the next watch that opens begins with the complete list, whatever revision the node has.
     sends_complete_list_next: bool,
     report_buffer: ReportBuffer,
-    /// The reports that are being sent to the registry, with their request id. They are sent again unchanged until
-    /// the registry has responded, so that they are applied once.
+    /// The reports that are being sent to the registry, with their request id. Until the registry has accepted or
+    /// rejected them they are sent again unchanged, under the same request id, so that they are applied once.
     outgoing_batch: Option<(String, Vec<audit::Event>)>,
     is_sending_batch: bool,
-    /// The members of this machine that are registered or are to be.
+    /// The members to keep registered: the servers of this machine from the start, and each node from its first
+    /// report on.
     members: Vec<Member>,
     /// The ids of the members that the registry may not have in their present form.
     unconfirmed_members: BTreeSet<String>,
--- a/crates/replica/src/raftloop.rs
+++ b/crates/replica/src/raftloop.rs
@@ -77,13 +77,14 @@
     state: State,
     links: PeerLinks,
     disk: SyncSender<WriteJob>,
-    /// Messages that may be sent only after all writes up to a number are on disk, by that number and in its order.
+    /// Messages that may be sent only once all writes up to a number are on disk, with that number, in ascending
+    /// order.
     messages_awaiting_disk: VecDeque<(u64, Vec<RaftMessage>)>,
     /// The replies to proposals of this process that are not applied yet, by the number in their entry's context.
     pending_replies: HashMap<u64, oneshot::Sender<ProposalResult>>,
     last_proposal_number: u64,
-    /// Identifies this process in the context of its entries, so that entries of an earlier process of this replica
-    /// don't get a reply meant for another proposal.
+    /// When this process started, in Unix nanoseconds. Part of the context of its entries, so that an entry of an
+    /// earlier process of this replica is not taken for a pending proposal with the same number.
     process_start: u64,
     is_leader: bool,
     /// Up to when the leader has added the elapsed time to log time.
