--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -99,7 +99,7 @@
         self.load.attempts += 1.0;
         let member = server.member.clone();
         actions.push(Action::Send { id, server: member.server, timeout, send_within });
-        let pending = self.requests.get_mut(&id).expect("the request is pending");
+        let pending = self.requests.get_mut(&id).expect("held");
         pending.attempts.push(Attempt { member, sent_at: now, execution: Execution::InFlight });
     }
 
