--- a/tests/decisions/load.rs
+++ b/tests/decisions/load.rs
@@ -102,17 +102,18 @@
     assert_eq!(sent_count, 30);
 }
 
-/// Submits `count` requests, numbered from `n + 1` and each with a key of its own, answers each at once and
-/// runs a sweep after every `per_sweep` of them. Returns how many were refused.
-fn count_refusals(node: &mut Node, n: &mut u64, count: u64, per_sweep: u64) -> u32 {
+/// Submits `count` requests, numbered from `last_number + 1` and each with a key of its own, answers each at
+/// once and runs a sweep after every `requests_per_sweep` of them. Returns how many were refused.
+fn count_refusals(node: &mut Node, last_number: &mut u64, count: u64, requests_per_sweep: u64) -> u32 {
     let mut refusals = 0;
     for _ in 0..count {
-        *n += 1;
-        match sent_server(&node.submit(*n, SAFE, *n)) {
-            Some(server) => drop(node.end_attempt(*n, 0, server, Outcome::Ok)),
+        *last_number += 1;
+        let n = *last_number;
+        match sent_server(&node.submit(n, SAFE, n)) {
+            Some(server) => drop(node.end_attempt(n, 0, server, Outcome::Ok)),
             None => refusals += 1,
         }
-        node.advance_time(if n.is_multiple_of(per_sweep) { SWEEP_PERIOD_US } else { 0 });
+        node.advance_time(if n.is_multiple_of(requests_per_sweep) { SWEEP_PERIOD_US } else { 0 });
     }
     refusals
 }
@@ -128,9 +129,9 @@
         let tenants = vec![Tenant { quota_per_s: 20.0 * f64::from(group_size) }];
         let settings = Settings { group_size, tenants, ..settings() };
         let mut node = Node::new(settings, (0..60).map(member).collect());
-        let mut n = 0;
+        let mut last_number = 0;
         // A request at each sweep, 10 per second: half of the node's part of the quota.
-        let mut submit_15 = |node: &mut Node| count_refusals(node, &mut n, 15, 1);
+        let mut submit_15 = |node: &mut Node| count_refusals(node, &mut last_number, 15, 1);
         (0..10).for_each(|_| assert_eq!(submit_15(&mut node), 0));
         node.sync(SyncKind::Full, (removed..60).map(member).collect());
         node.advance_time(SWEEP_PERIOD_US);
@@ -155,8 +156,8 @@
     let tenants = vec![Tenant { quota_per_s: 2_000.0 }];
     let settings = Settings { group_size: 100, tenants, ..settings() };
     let mut node = Node::new(settings, (0..60).map(member).collect());
-    let mut n = 0;
-    let mut submit_for_second = |node: &mut Node| count_refusals(node, &mut n, 100, 10);
+    let mut last_number = 0;
+    let mut submit_for_second = |node: &mut Node| count_refusals(node, &mut last_number, 100, 10);
     (0..10).for_each(|_| assert_eq!(submit_for_second(&mut node), 0));
     node.sync(SyncKind::Full, (12..60).map(member).collect());
     node.advance_time(SWEEP_PERIOD_US);
@@ -168,13 +169,16 @@
 // rarely for the servers to keep it in their caches.
 #[test]
 fn an_overload_refuses_the_same_keys_at_every_node() {
-    // The refused fraction of each of 100 keys at a node with this seed. The servers answer three of every
-    // five requests, and an answer takes 3.3 ms for each request in flight.
+    // The refused fraction of each of 100 keys at a node with this seed. 500 requests arrive per second, the
+    // servers answer 300 of them (three of every five), and an answer takes 3.3 ms for each request in
+    // flight.
     let refused_fractions = |seed: u64| -> Vec<f64> {
         let mut node = Node::with_servers(10);
         node.balancer = Balancer::new(settings(), seed);
         node.sync(SyncKind::Cached, (0..10).map(member).collect());
-        let (mut counts, mut in_flight) = (vec![[0.0; 2]; 100], std::collections::VecDeque::new());
+        // Of each key: how many requests were submitted, and how many of them were refused.
+        let mut counts = vec![[0.0; 2]; 100];
+        let mut in_flight = std::collections::VecDeque::new();
         for n in 0..20_000u64 {
             node.now += 2_000;
             node.advance_time(if n % 50 == 0 { SWEEP_PERIOD_US } else { 0 });
@@ -233,7 +237,8 @@
     // requests arrive.
     let count_in_flight = |extra_requests: u64| {
         let mut node = Node::with_servers(10);
-        let (mut n, mut in_flight) = (0, std::collections::VecDeque::new());
+        let mut n = 0;
+        let mut in_flight = std::collections::VecDeque::new();
         for _ in 0..400 {
             for _ in 0..=extra_requests {
                 n += 1;
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -18,7 +18,7 @@
 
 /// How often the balancer sweeps over its servers.
 const SWEEP_PERIOD_US: Micros = 100_000;
-/// The timer of that sweep.
+/// The balancer's timer for that sweep.
 const TIMER_SWEEP: TimerId = TimerId(1);
 
 /// Submits `count` unsafe requests over one second, each with a key of its own and numbered from `first`. The
--- a/tests/decisions/requests.rs
+++ b/tests/decisions/requests.rs
@@ -119,13 +119,16 @@
     let members = (0..60).map(|n| Member { size: size_of(n), ..member(n) }).collect();
     let settings = Settings { weight_source: WeightSource::Nominal, ..settings() };
     let mut node = Node::new(settings, members);
-    let (mut to_large, mut counted) = (0u32, 0u32);
-    // Each of the 20 hot keys is spread over some successive slots, which belong to a part of the servers.
+    let mut to_large = 0u32;
+    let mut counted = 0u32;
+    // Each of the 20 hot keys is spread over about nine successive slots, which belong to a part of the
+    // servers.
     for n in 0..12_000 {
         let server = node.route(n, SAFE, n % 20);
         node.end_attempt(n, 0, server, Outcome::Ok);
         if n >= 2_000 {
-            (to_large, counted) = (to_large + u32::from(server.0.is_multiple_of(3)), counted + 1);
+            to_large += u32::from(server.0.is_multiple_of(3));
+            counted += 1;
         }
     }
     // 20 servers of size 4.5 and 40 of size 1.5: three fifths go to the large ones. If the size counted
@@ -154,7 +157,7 @@
     assert!(owners.len() >= 8, "{owners:?}");
 }
 
-// A node of a large group that has just started can't tell which keys are hot. It must spread all keys at
+// A node of a large group that has just started cannot tell which keys are hot. It must spread all keys at
 // first, or a hundred such nodes send their first requests for a key to one owner. Later a rare key has a
 // single owner again.
 #[test]
--- a/tests/decisions/serial_queue.rs
+++ b/tests/decisions/serial_queue.rs
@@ -11,12 +11,12 @@
     settings
 }
 
-/// A node with these settings and four servers.
+/// A node with these settings, whose list has four servers.
 fn serial_node() -> Node {
     Node::new(serial_settings(), (0..4).map(member).collect())
 }
 
-// Two requests of a serial key must not run together: the second waits until the first has ended.
+// Two requests of a serial key must not run at the same time: the second waits until the first has ended.
 #[test]
 fn requests_of_a_serial_key_run_one_at_a_time() {
     let mut node = serial_node();
@@ -27,7 +27,8 @@
     assert!(sent_server(&node.end_attempt(1, 0, first, Outcome::Ok)).is_some(), "the second is sent at once");
 }
 
-// An attempt whose connection broke may still be running: the next request of its key waits for the cooldown.
+// An attempt that timed out or whose connection broke may still be running: the next request of its key waits
+// for the cooldown.
 #[test]
 fn a_serial_key_cools_down_after_an_attempt_that_may_still_run() {
     let mut node = serial_node();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,7 +10,7 @@
 //! - A node does not go without a subscription to the server list for too long.
 //!
 //! The simulated host keeps the state that a host has: attempts in flight, requests that have ended, timers.
-//! It simulates no servers: the outcomes of attempts are random.
+//! It simulates no servers: the outcomes of attempts are drawn at random.
 
 mod common;
 
@@ -38,21 +38,21 @@
     Submit { class: usize, key: u64, time_left: Micros },
     EndAttempt { pick: usize, outcome: u8 },
     EndRequest { pick: usize },
-    SyncList { full: bool, servers: Vec<(u32, u8)> },
+    SyncList { is_full: bool, servers: Vec<(u32, u8)> },
     SyncFailed,
     EndProbe { server: u32, succeeds: bool },
     AdvanceTime { span: Micros },
 }
 
-/// Draws one step.
-fn step() -> impl Strategy<Value = Step> {
+/// Draws a step, of the frequent kinds more often.
+fn draw_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..4usize, prop_oneof![0..4u64, 0..40u64], 1..3 * SECOND)
             .prop_map(|(class, key, time_left)| Step::Submit { class, key, time_left }),
         6 => (any::<usize>(), 0..7u8).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
         1 => any::<usize>().prop_map(|pick| Step::EndRequest { pick }),
         1 => (any::<bool>(), prop::collection::vec((0..12u32, 0..5u8), 0..12))
-            .prop_map(|(full, servers)| Step::SyncList { full, servers }),
+            .prop_map(|(is_full, servers)| Step::SyncList { is_full, servers }),
         1 => Just(Step::SyncFailed),
         1 => (0..12u32, any::<bool>()).prop_map(|(server, succeeds)| Step::EndProbe { server, succeeds }),
         4 => (1..400_000u64).prop_map(|span| Step::AdvanceTime { span }),
@@ -90,8 +90,9 @@
     timers: BTreeMap<(Micros, u64), TimerId>,
     /// When the cooldown of each serial key ends.
     cooldown_ends: BTreeMap<u64, Micros>,
-    /// The number that was last given to a request or a timer.
+    /// The number that was last given to a request or a timer; both are numbered in one sequence.
     last_number: u64,
+    /// Number of final answers so far.
     final_answers: u64,
 }
 
@@ -111,7 +112,7 @@
         host
     }
 
-    fn request_number(id: RequestId) -> u64 {
+    fn parse_request_number(id: RequestId) -> u64 {
         std::str::from_utf8(&id.0[..20]).unwrap().parse().unwrap()
     }
 
@@ -129,18 +130,20 @@
             Action::Send { id, server, timeout, .. } => {
                 let member = self.members.get(&server.0).expect("the server was on the list").clone();
                 assert_eq!(member.state, ServerState::InService, "the server is not in service");
-                let n = Self::request_number(id);
-                if let Some(key) = self.requests[&n].serial_key {
-                    let mut earlier = self.requests.range(..n).filter(|(_, r)| r.serial_key == Some(key));
+                let request_number = Self::parse_request_number(id);
+                if let Some(key) = self.requests[&request_number].serial_key {
+                    let mut earlier =
+                        self.requests.range(..request_number).filter(|(_, r)| r.serial_key == Some(key));
                     assert!(
                         earlier
                             .all(|(_, r)| r.is_ended && r.attempts.iter().all(|a| a.may_have_run.is_some())),
                         "an earlier request of the serial key is not over"
                     );
-                    let cools_down = self.cooldown_ends.get(&key).is_some_and(|end| now < *end);
-                    assert!(!cools_down || !self.requests[&n].attempts.is_empty(), "the key cools down");
+                    let is_cooling_down = self.cooldown_ends.get(&key).is_some_and(|end| now < *end);
+                    let is_first_attempt = self.requests[&request_number].attempts.is_empty();
+                    assert!(!is_cooling_down || !is_first_attempt, "the key cools down");
                 }
-                let request = self.requests.get_mut(&n).expect("the request is known");
+                let request = self.requests.get_mut(&request_number).expect("the request is known");
                 assert!(!request.is_ended, "an attempt for a request that has ended");
                 assert!(
                     timeout > 0 && now + timeout <= request.deadline,
@@ -172,7 +175,8 @@
                 });
             }
             Action::Refuse { id, .. } => {
-                let request = self.requests.get_mut(&Self::request_number(id)).expect("the request is known");
+                let request =
+                    self.requests.get_mut(&Self::parse_request_number(id)).expect("the request is known");
                 assert!(!request.is_ended, "a final answer for a request that has ended");
                 let may_refuse = match self.settings.classes[request.class].semantics {
                     Semantics::Safe | Semantics::Deduplicated { scope: DedupScope::All, .. } => true,
@@ -183,14 +187,15 @@
                 self.final_answers += 1;
             }
             Action::Fail { id } => {
-                let request = self.requests.get_mut(&Self::request_number(id)).expect("the request is known");
+                let request =
+                    self.requests.get_mut(&Self::parse_request_number(id)).expect("the request is known");
                 assert!(!request.is_ended, "a final answer for a request that has ended");
                 request.is_ended = true;
                 self.final_answers += 1;
             }
             Action::Cancel { id, attempt } => {
                 assert!(self.settings.can_cancel);
-                let request = &self.requests[&Self::request_number(id)];
+                let request = &self.requests[&Self::parse_request_number(id)];
                 assert!((attempt as usize) < request.attempts.len(), "the attempt was never sent");
             }
             Action::SetTimer { delay, timer } => {
@@ -221,31 +226,32 @@
 
     /// The attempts in flight: the number of the request and the number of the attempt.
     fn in_flight(&self) -> Vec<(u64, usize)> {
-        let in_flight = self.requests.iter().flat_map(|(n, request)| {
+        let in_flight = self.requests.iter().flat_map(|(&request_number, request)| {
             let attempts = request.attempts.iter().enumerate();
-            attempts.filter(|(_, a)| a.may_have_run.is_none()).map(move |(number, _)| (*n, number))
+            let in_flight = attempts.filter(|(_, attempt)| attempt.may_have_run.is_none());
+            in_flight.map(move |(attempt_number, _)| (request_number, attempt_number))
         });
         in_flight.collect()
     }
 
-    fn end_attempt(&mut self, n: u64, number: usize, outcome: Outcome) {
-        let request = self.requests.get_mut(&n).unwrap();
+    fn end_attempt(&mut self, request_number: u64, attempt_number: usize, outcome: Outcome) {
+        let request = self.requests.get_mut(&request_number).unwrap();
         let is_request_done = request.is_ended || outcome == Outcome::Ok;
         request.is_ended = is_request_done;
-        let attempt = &mut request.attempts[number];
+        let attempt = &mut request.attempts[attempt_number];
         attempt.may_have_run = Some(match outcome {
             Outcome::Full => self.settings.full_may_have_run,
             Outcome::ConnectFailed | Outcome::Moot => false,
             _ => true,
         });
-        let may_be_running = matches!(outcome, Outcome::Timeout | Outcome::Reset);
-        if let Some(key) = request.serial_key.filter(|_| may_be_running) {
+        let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset);
+        if let Some(key) = request.serial_key.filter(|_| may_still_run) {
             self.cooldown_ends.insert(key, self.node.now + self.settings.serial_key_cooldown);
         }
         let (server, elapsed) = (attempt.member.server, self.node.now - attempt.sent_at);
         self.handle_event(Event::AttemptEnded(AttemptEnd {
-            id: request_id(n),
-            attempt: number as u32,
+            id: request_id(request_number),
+            attempt: attempt_number as u32,
             server,
             outcome,
             elapsed,
@@ -259,20 +265,20 @@
         let end = self.node.now + span;
         loop {
             let timer = self.timers.keys().next().copied();
-            let attempt = self
-                .in_flight()
-                .into_iter()
-                .min_by_key(|&(n, number)| self.requests[&n].attempts[number].times_out_at);
-            let timeout_at = attempt.map(|(n, number)| self.requests[&n].attempts[number].times_out_at);
+            let times_out_at =
+                |request: u64, attempt: usize| self.requests[&request].attempts[attempt].times_out_at;
+            let attempts = self.in_flight().into_iter();
+            let attempt = attempts.min_by_key(|&(request, attempt)| times_out_at(request, attempt));
+            let timeout_at = attempt.map(|(request, attempt)| times_out_at(request, attempt));
             let next_at = timer.map_or(u64::MAX, |(at, _)| at).min(timeout_at.unwrap_or(u64::MAX));
             if next_at > end {
                 break;
             }
             self.node.now = self.node.now.max(next_at);
             if timeout_at == Some(next_at) {
-                let (n, number) = attempt.unwrap();
-                self.end_attempt(n, number, Outcome::Timeout);
-            } else if let Some(timer) = timer.and_then(|t| self.timers.remove(&t)) {
+                let (request, attempt) = attempt.unwrap();
+                self.end_attempt(request, attempt, Outcome::Timeout);
+            } else if let Some(timer) = timer.and_then(|key| self.timers.remove(&key)) {
                 self.handle_event(Event::TimerExpired(timer));
             }
         }
@@ -302,7 +308,7 @@
                 if in_flight.is_empty() {
                     return;
                 }
-                let (n, number) = in_flight[pick % in_flight.len()];
+                let (request, attempt) = in_flight[pick % in_flight.len()];
                 let outcome = [
                     Outcome::Ok,
                     Outcome::Error,
@@ -312,7 +318,7 @@
                     Outcome::Reset,
                     Outcome::Ok,
                 ][usize::from(outcome)];
-                self.end_attempt(n, number, outcome);
+                self.end_attempt(request, attempt, outcome);
             }
             Step::EndRequest { pick } => {
                 let open: Vec<u64> =
@@ -323,19 +329,19 @@
                     self.handle_event(Event::RequestEnded(request_id(n)));
                 }
             }
-            Step::SyncList { full, servers } => {
+            Step::SyncList { is_full, servers } => {
                 let now = self.node.now;
                 let mut members = BTreeMap::new();
                 for (server, state) in servers {
                     let state = match state {
                         0 => ServerState::Terminating,
-                        1 if !full => ServerState::Terminated,
+                        1 if !is_full => ServerState::Terminated,
                         _ => ServerState::InService,
                     };
                     let started_at = if server % 3 == 0 { now } else { 0 };
                     members.insert(server, Member { state, started_at, ..member(server) });
                 }
-                let kind = if full { SyncKind::Full } else { SyncKind::Delta };
+                let kind = if is_full { SyncKind::Full } else { SyncKind::Delta };
                 self.sync(kind, members.into_values().collect());
             }
             Step::SyncFailed => self.handle_event(Event::Sync { kind: SyncKind::Failed, members: vec![] }),
@@ -354,9 +360,10 @@
     let config = Config { cases: 96, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
+    // The most final answers of a run: a check without final answers would check little.
     let most_final_answers = std::cell::Cell::new(0);
     runner
-        .run(&prop::collection::vec(step(), 1..300), |steps| {
+        .run(&prop::collection::vec(draw_step(), 1..300), |steps| {
             let mut host = Host::new(settings.clone());
             for step in steps {
                 host.run_step(step);
@@ -437,10 +444,11 @@
         let settings = Settings { cold_overload_multiple: multiple, ..settings() };
         let mut node = Node::new(settings.clone(), members);
         for window in 0..9 {
-            let (per_window, mut counts) = (2_000u64, [0u32; 12]);
-            for n in 0..per_window {
+            let requests_per_window = 2_000u64;
+            let mut counts = [0u32; 12];
+            for n in 0..requests_per_window {
                 node.advance_time(if n % 200 == 0 { SWEEP_PERIOD_US } else { 0 });
-                let n = window * per_window + n;
+                let n = window * requests_per_window + n;
                 let key = if n % 5 == 0 { 7 } else { n };
                 let Some(server) = sent_server(&node.submit(n, SAFE, key)) else { continue };
                 counts[server.0 as usize] += 1;
@@ -450,7 +458,7 @@
             // fraction of its full capacity that a cold server has at the start of the window, the least
             // within the window.
             let capacity = settings.start_capacity + (1.0 - settings.start_capacity) * window as f64 / 10.0;
-            let limit = multiple * capacity * per_window as f64 / 12.0;
+            let limit = multiple * capacity * requests_per_window as f64 / 12.0;
             for count in &counts[..cold_servers] {
                 assert!(
                     f64::from(*count) < limit,
@@ -473,7 +481,7 @@
             Action::SetTimer { delay, timer: TIMER_SUBSCRIBE } => Some(*delay),
             _ => None,
         });
-        let delay = delay.expect("a timer to subscribe by");
+        let delay = delay.expect("the node sets a timer to subscribe");
         assert!(delay < settings.max_unsubscribed_time, "{delay}");
         node.now += delay;
         assert_eq!(node.handle_event(Event::TimerExpired(TIMER_SUBSCRIBE)), vec![Action::Subscribe]);
