--- a/src/api.rs
+++ b/src/api.rs
@@ -83,8 +83,8 @@
     pub late_share: f64,
     /// Whether a request may run more than once.
     pub semantics: Semantics,
-    /// The class is serial: requests that share a key run one at a time, in the order of their arrival, also
-    /// together with those of other serial classes.
+    /// The class is serial: requests of this and other serial classes that share a key run one at a time, in
+    /// the order of their arrival.
     pub is_serial_by_key: bool,
 }
 
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -218,11 +218,11 @@
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let even_rate = quota / f64::from(self.settings.group_size)
             * (self.load.listed_size / self.load.recent_listed_size.max(1.0));
-        let served_rate = even_rate.max(self.load.usual_rate)
+        let servable_rate = even_rate.max(self.load.usual_rate)
             * (self.load.listed_size / self.load.max_listed_size.max(1.0));
         let rate = self.load.requests / self.window_s;
         let is_short = self.is_large_group && self.load.listed_size < self.load.max_listed_size;
-        is_short && quota > 0.0 && rate > served_rate && slot_rank(slot) > served_rate / rate
+        is_short && quota > 0.0 && rate > servable_rate && slot_rank(slot) > servable_rate / rate
     }
 
     /// Whether to refuse a new request because of the in-flight limit, which is lower for requests of little
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -158,7 +158,7 @@
         }
         attempt.execution = classify_outcome(outcome, self.settings.full_may_have_run);
         let (class, is_ended) = (pending.class, pending.is_ended);
-        let has_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
+        let is_any_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
         let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if let Some(key) = pending.serial_key.filter(|_| may_still_run) {
             let delay = self.settings.serial_key_cooldown;
@@ -168,9 +168,9 @@
         self.record_outcome(class, &end, actions);
         if is_ended || end.is_request_done || outcome == Outcome::Ok {
             self.end_request(id, actions);
-        } else if !has_in_flight {
-            // Resends add to an overload if the earlier attempt may have run or met a full server, so they
-            // cost a retry token. A resend after a failed connection costs none.
+        } else if !is_any_in_flight {
+            // A further attempt adds to an overload if the last one may have run or met a full server, so it
+            // costs a retry token. After a failed connection it costs none.
             let costs_token = outcome != Outcome::ConnectFailed;
             let is_allowed = !costs_token || self.retry_tokens >= 1.0;
             if is_allowed && costs_token {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -14,7 +14,7 @@
 /// for the attempt to reach the server.
 const DEDUP_MARGIN_DIVISOR: Micros = 10;
 
-/// Whether an attempt has run on its server.
+/// Whether an attempt has run on its server, as far as its outcome tells.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Execution {
     InFlight,
@@ -43,7 +43,9 @@
         }
     }
 
-    /// Whether another attempt is within the bounds and cannot make the request run twice.
+    /// Whether another attempt is within the limits on time and number, and the semantics of the request
+    /// allow it: an unsafe request must not run twice, and servers must drop the repeat of a deduplicated
+    /// one.
     pub(super) fn may_send(&self, pending: &PendingRequest) -> bool {
         let is_in_flight = pending.attempts.iter().any(|a| a.execution == Execution::InFlight);
         if self.now >= pending.deadline
