--- a/crates/audit/src/escalation.rs
+++ b/crates/audit/src/escalation.rs
@@ -19,9 +19,9 @@
                 return self.shut_out_again(name);
             }
             if node.step == EscalationStep::Normal && node.admission == Admission::Full {
-                let is_repeated = node.highest_step != EscalationStep::Normal
+                let is_behind_again = node.highest_step != EscalationStep::Normal
                     && now < node.recovered_at + self.config.step_memory_ms;
-                let first = if is_repeated {
+                let first = if is_behind_again {
                     self.config.next_step(node.highest_step)
                 } else {
                     EscalationStep::ListRefetched
--- a/crates/registry/tests/drawn.rs
+++ b/crates/registry/tests/drawn.rs
@@ -7,8 +7,8 @@
 use rand_chacha::ChaCha8Rng;
 use registry::*;
 
-const SEEDS: u64 = 2_000;
-const STEPS: u64 = 300;
+const SEED_COUNT: u64 = 2_000;
+const STEP_COUNT: u64 = 300;
 
 fn config() -> Config {
     Config {
@@ -106,12 +106,12 @@
 
 #[test]
 fn revisions_increase_watches_resume_and_request_ids_are_remembered() {
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let (mut state, mut other) = (State::new(config()), State::new(config()));
         let mut watchers: Vec<Watcher> = (0..4).map(|_| Watcher::default()).collect();
         let mut sent: Vec<(Proposal, Outcome)> = Vec::new();
-        for index in 1..=STEPS {
+        for index in 1..=STEP_COUNT {
             let is_retry = rng.random_bool(0.1) && !sent.is_empty();
             let (revision, before) = (state.revision(), servers(&state));
             let proposal = match is_retry {
--- a/src/list.rs
+++ b/src/list.rs
@@ -49,9 +49,9 @@
             return None;
         };
         let (revision, complete) = (value.get("revision"), value.get("complete"));
-        let mut list_fields = Fields { value, path, findings };
-        list_fields.check("revision", revision.is_none_or(Value::is_u64), "a whole number");
-        list_fields.check("complete", complete.is_none_or(Value::is_boolean), "true or false");
+        let mut list_checker = FieldChecker { value, path, findings };
+        list_checker.check("revision", revision.is_none_or(Value::is_u64), "a whole number");
+        list_checker.check("complete", complete.is_none_or(Value::is_boolean), "true or false");
         let parse_member = |(n, member)| parse_entry(member, &format!("{path}.members[{n}]"), findings);
         let entries: Vec<ListEntry> = members.iter().enumerate().filter_map(parse_member).collect();
         let mut ids = HashSet::new();
@@ -75,14 +75,15 @@
     }
 }
 
-/// An object whose fields are checked, its path, and the findings that the checks add to.
-struct Fields<'a> {
+/// Checks the fields of an object and adds a warning for each invalid one to the findings. `path` is the path
+/// of the object in its file.
+struct FieldChecker<'a> {
     value: &'a Value,
     path: &'a str,
     findings: &'a mut Findings,
 }
 
-impl Fields<'_> {
+impl FieldChecker<'_> {
     /// Adds a warning if the field is invalid; returns `is_valid`.
     fn check(&mut self, name: &str, is_valid: bool, expected: &str) -> bool {
         if !is_valid {
@@ -103,13 +104,13 @@
     }
     let (id, addr) = (text("id"), text("host_port").and_then(|addr| addr.parse().ok()));
     let state = text("phase").and_then(parse_server_state);
-    let mut fields = Fields { value, path, findings };
+    let mut field_checker = FieldChecker { value, path, findings };
     // `&=` does not short-circuit: every invalid field is reported, not only the first.
-    let mut is_valid = fields.check("id", id.is_some(), "a string");
-    is_valid &= fields.check("host_port", addr.is_some(), "an address such as 10.1.0.18:5000");
-    is_valid &= fields.check("phase", state.is_some(), "in_service, terminating or terminated");
+    let mut is_valid = field_checker.check("id", id.is_some(), "a string");
+    is_valid &= field_checker.check("host_port", addr.is_some(), "an address such as 10.1.0.18:5000");
+    is_valid &= field_checker.check("phase", state.is_some(), "in_service, terminating or terminated");
     let mut check_optional = |name: &str, is_valid: fn(&Value) -> bool, expected: &str| {
-        fields.check(name, value.get(name).is_none_or(is_valid), expected);
+        field_checker.check(name, value.get(name).is_none_or(is_valid), expected);
     };
     check_optional("locality", Value::is_string, "a string");
     check_optional("cell", Value::is_u64, "a whole number");
