--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -449,7 +449,7 @@
             for n in 0..requests_per_window {
                 node.advance_time(if n % 200 == 0 { SWEEP_PERIOD_US } else { 0 });
                 let n = window * requests_per_window + n;
-                let key = if n % 5 == 0 { 7 } else { n };
+                let key = if n.is_multiple_of(5) { 7 } else { n };
                 let Some(server) = sent_server(&node.submit(n, SAFE, key)) else { continue };
                 counts[server.0 as usize] += 1;
                 node.end_attempt(n, 0, server, Outcome::Ok);
