--- a/crates/rig/src/binaries.rs
+++ b/crates/rig/src/binaries.rs
@@ -1,4 +1,4 @@
-//! The programs under test, built once a run.
+//! The programs under test, built once per run.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,50 +6,53 @@
 
 use anyhow::{ensure, Context};
 
-/// Where they lie.
+/// Paths of the programs.
 #[derive(Clone, Debug)]
 pub struct Binaries {
     /// `fircroft`.
     pub fircroft: PathBuf,
-    /// The node as it is in service.
+    /// The node as it is in service, `woodgap`.
     pub node: PathBuf,
-    /// The node with the faults that tests ask for.
+    /// The node with the feature `faults`: `WOODGAP_FAULT` selects a fault.
     pub faulty_node: PathBuf,
 }
 
 impl Binaries {
-    /// Builds them, in the profile that this program was built in, or finds them built.
+    /// Builds the programs in the profile of this program, unless they are up to date.
     ///
     /// # Errors
     ///
-    /// What the build says.
+    /// Fails if the build fails.
     pub fn build() -> anyhow::Result<Binaries> {
-        static BUILT: OnceLock<Result<Binaries, String>> = OnceLock::new();
-        let built = BUILT.get_or_init(|| build().map_err(|error| format!("{error:#}")));
-        built.clone().map_err(anyhow::Error::msg)
+        static RESULT: OnceLock<Result<Binaries, String>> = OnceLock::new();
+        let result = RESULT.get_or_init(|| build_all().map_err(|error| format!("{error:#}")));
+        result.clone().map_err(anyhow::Error::msg)
     }
 }
 
-fn build() -> anyhow::Result<Binaries> {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let own = std::env::current_exe().context("this program's place")?;
-    // target/PROFILE/deps/test or target/PROFILE/program
-    let folder =
-        own.ancestors().find(|folder| folder.join("build").is_dir()).context("the build's folder")?;
-    let target = folder.parent().context("the build's folder")?;
-    let release = folder.ends_with("release");
-    let cargo = |args: &[&str]| -> anyhow::Result<()> {
+fn build_all() -> anyhow::Result<Binaries> {
+    let workspace_dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let own_path = std::env::current_exe().context("path of this executable")?;
+    // This executable is target/PROFILE/deps/NAME or target/PROFILE/NAME.
+    let profile_dir = own_path
+        .ancestors()
+        .find(|dir| dir.join("build").is_dir())
+        .context("find the profile's directory")?;
+    let target_dir = profile_dir.parent().context("find the target directory")?;
+    let is_release = profile_dir.ends_with("release");
+    let run_cargo_build = |args: &[&str]| -> anyhow::Result<()> {
         let mut command = Command::new(std::env::var("CARGO").unwrap_or_else(|_| "cargo".to_owned()));
-        command.current_dir(&root).args(["build", "--locked", "--quiet"]).args(args);
-        command.args(release.then_some("--release")).env_remove("RUSTFLAGS");
+        command.current_dir(&workspace_dir).args(["build", "--locked", "--quiet"]).args(args);
+        command.args(is_release.then_some("--release")).env_remove("RUSTFLAGS");
         let status = command.status().context("cargo build")?;
         ensure!(status.success(), "cargo build {} failed", args.join(" "));
         Ok(())
     };
-    let target_of = target.to_string_lossy().into_owned();
-    let faulty = target.join("faults");
-    let faulty_of = faulty.to_string_lossy().into_owned();
-    cargo(&[
+    let target_arg = target_dir.to_string_lossy().into_owned();
+    // A directory of its own, so that builds with and without the feature don't overwrite each other.
+    let faults_dir = target_dir.join("faults");
+    let faults_arg = faults_dir.to_string_lossy().into_owned();
+    run_cargo_build(&[
         "-p",
         "fircroft",
         "-p",
@@ -59,13 +62,22 @@
         "--bin",
         "woodgap",
         "--target-dir",
-        &target_of,
+        &target_arg,
     ])?;
-    cargo(&["-p", "woodgap", "--bin", "woodgap", "--features", "faults", "--target-dir", &faulty_of])?;
-    let profile = if release { "release" } else { "debug" };
+    run_cargo_build(&[
+        "-p",
+        "woodgap",
+        "--bin",
+        "woodgap",
+        "--features",
+        "faults",
+        "--target-dir",
+        &faults_arg,
+    ])?;
+    let profile = if is_release { "release" } else { "debug" };
     Ok(Binaries {
-        fircroft: target.join(profile).join("fircroft"),
-        node: target.join(profile).join("woodgap"),
-        faulty_node: faulty.join(profile).join("woodgap"),
+        fircroft: target_dir.join(profile).join("fircroft"),
+        node: target_dir.join(profile).join("woodgap"),
+        faulty_node: faults_dir.join(profile).join("woodgap"),
     })
 }
--- a/crates/rig/src/capacity/registry.rs
+++ b/crates/rig/src/capacity/registry.rs
@@ -1,4 +1,4 @@
-//! The registry by members, watchers, reporters and renewals, and an agent by the size of its list.
+//! Measures the registry by members, watchers, reporting nodes and renewals, and an agent by the size of its list.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,46 +11,60 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-use super::{cpu_of, Series, MEMBERS, NODES};
-use crate::process::{Process, Program};
-use crate::site::Site;
+use super::{measure_cpu_s, Series, MEMBER_COUNTS, NODE_COUNTS};
+use crate::process::{Process, ProcessSpec};
+use crate::site::{Site, WAIT_TIMEOUT};
 
-/// Commands that are out at a time.
-const OUT: usize = 64;
-const CHANGES: usize = 100;
-const SPAN: Duration = Duration::from_secs(5);
-/// Renewals a second that are tried.
-const RENEWALS: [usize; 4] = [250, 500, 1_000, 2_000];
+/// Number of commands in flight while members are registered.
+const REGISTRATION_CONCURRENCY: usize = 64;
+/// Number of commands in flight at a constant rate, beyond which commands are skipped.
+const MAX_IN_FLIGHT_AT_RATE: usize = 512;
+/// Number of changes that are sent for each measurement.
+const CHANGE_COUNT: usize = 100;
+/// How long each measurement at rest or at a constant rate takes.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(5);
+/// The rates of renewals per second that are measured.
+const RENEWAL_RATES_PER_S: [usize; 4] = [250, 500, 1_000, 2_000];
+/// Fewest bytes per member of an agent's list file by which the file is taken for complete.
+const MIN_LIST_BYTES_PER_MEMBER: u64 = 50;
 
-/// Asks one replica, over connections of its own.
+/// A client of one replica, without a relay.
 #[derive(Clone)]
 struct Api {
     http: reqwest::Client,
-    at: String,
+    base_url: String,
 }
 
 impl Api {
-    fn new(site: &Site, place: usize) -> anyhow::Result<Api> {
-        let at = format!("http://{}", site.api(place).context("the replica is down")?);
-        Ok(Api { http: reqwest::Client::builder().no_proxy().build()?, at })
+    fn new(site: &Site, index: usize) -> anyhow::Result<Api> {
+        let base_url = format!("http://{}", site.api_addr(index).context("the replica is down")?);
+        Ok(Api { http: reqwest::Client::builder().no_proxy().build()?, base_url })
     }
 
-    /// Whether a command was answered as done, and its revision.
-    async fn command(&self, request: &str, command: &Value) -> Option<u64> {
+    /// The host and port of the replica.
+    fn authority(&self) -> &str {
+        self.base_url.trim_start_matches("http://")
+    }
+
+    /// Sends a command. Returns its revision if it was carried out.
+    async fn send_command(&self, request: &str, command: &Value) -> Option<u64> {
         let body = json!({"request": request, "command": command});
-        let answer = self.http.post(format!("{}/v1/commands", self.at)).json(&body).send().await.ok()?;
-        let ok = answer.status().is_success();
-        let answer: Value = answer.json().await.ok()?;
-        answer["done"]["revision"].as_u64().filter(|_| ok)
+        let url = format!("{}/v1/commands", self.base_url);
+        let response = self.http.post(url).json(&body).send().await.ok()?;
+        let is_success = response.status().is_success();
+        let outcome: Value = response.json().await.ok()?;
+        outcome["done"]["revision"].as_u64().filter(|_| is_success)
     }
 
-    async fn revision(&self) -> anyhow::Result<u64> {
-        let list: Value = self.http.get(format!("{}/api/targets", self.at)).send().await?.json().await?;
-        list["revision"].as_u64().context("a revision")
+    async fn fetch_revision(&self) -> anyhow::Result<u64> {
+        let url = format!("{}/api/targets", self.base_url);
+        let list: Value = self.http.get(url).send().await?.json().await?;
+        list["revision"].as_u64().context("the list has no revision")
     }
 }
 
-fn put(n: usize, phase: &str) -> Value {
+/// The command that registers server `n` in a phase.
+fn put_command(n: usize, phase: &str) -> Value {
     json!({"put": {"member": {"id": format!("s-{n:08x}"), "role": "server", "pool": "app",
         "zone": format!("zone-{}", n % 34), "host_port": format!("127.{}.{}.{}:9", 2 + n / 62_500, 1 + n / 250 % 250, 1 + n % 250),
         "flavor": "m2", "cell": n / 4, "phase": phase}}})
@@ -59,34 +73,36 @@
 pub async fn measure(site: &mut Site, leader: usize) -> anyhow::Result<()> {
     let api = Api::new(site, leader)?;
     let follower = (leader + 1) % site.replicas.len();
-    members(site, &api, leader, follower).await?;
-    watches(site, &api, leader).await?;
-    reports(site, &api, leader, follower).await?;
-    renewals(site, &api, leader, follower).await
+    measure_members(site, &api, leader, follower).await?;
+    measure_watches(site, &api, leader).await?;
+    measure_reports(site, &api, leader, follower).await?;
+    measure_renewals(site, &api, leader, follower).await
 }
 
-fn processes(site: &Site, places: [usize; 2]) -> anyhow::Result<Vec<&Process>> {
-    places.iter().map(|&place| site.replicas[place].as_ref().context("the replica is down")).collect()
+fn replica_processes(site: &Site, indexes: [usize; 2]) -> anyhow::Result<Vec<&Process>> {
+    indexes.iter().map(|&index| site.replicas[index].as_ref().context("the replica is down")).collect()
 }
 
-async fn members(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
-    let mut memory = Series::new("leader, memory by members", "MB");
-    let mut other = Series::new("follower, memory by members", "MB");
+/// Registers members and measures the leader, a follower and an agent at each number of them.
+async fn measure_members(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
+    let mut leader_memory = Series::new("leader, memory by members", "MB");
+    let mut follower_memory = Series::new("follower, memory by members", "MB");
     let mut cpu =
         [Series::new("leader, a command by members", "ms"), Series::new("follower, the same", "ms")];
-    let mut agent = Series::new("agent, memory by members", "MB");
-    let mut disk = Series::new("agent, its file by members", "kB");
-    let mut there = 0;
-    for size in MEMBERS {
-        let watched = processes(site, [leader, follower])?;
-        let (used, ()) = cpu_of(&watched, async || {
-            let next = Rc::new(Cell::new(there));
-            let tasks = (0..OUT).map(|_| {
+    let mut agent_memory = Series::new("agent, memory by members", "MB");
+    let mut agent_file = Series::new("agent, its file by members", "kB");
+    let mut registered = 0;
+    for size in MEMBER_COUNTS {
+        let processes = replica_processes(site, [leader, follower])?;
+        let (cpu_s, ()) = measure_cpu_s(&processes, async || {
+            let next = Rc::new(Cell::new(registered));
+            let tasks = (0..REGISTRATION_CONCURRENCY).map(|_| {
                 let (api, next) = (api.clone(), next.clone());
                 spawn_local(async move {
                     while next.get() < size {
                         let n = next.replace(next.get() + 1);
-                        while api.command(&format!("put-{n}"), &put(n, "in_service")).await.is_none() {
+                        let command = put_command(n, "in_service");
+                        while api.send_command(&format!("put-{n}"), &command).await.is_none() {
                             sleep(Duration::from_millis(20)).await;
                         }
                     }
@@ -98,223 +114,237 @@
             Ok(())
         })
         .await?;
-        for (series, used) in cpu.iter_mut().zip(used) {
-            series.add(size, used / (size - there) as f64 * 1e3);
+        for (series, cpu_s) in cpu.iter_mut().zip(cpu_s) {
+            series.add_point(size, cpu_s / (size - registered) as f64 * 1e3);
         }
-        there = size;
-        let (process, bytes) = agent_with(site, api, size).await?;
-        agent.add(size, process.usage()?.resident_mb);
-        disk.add(size, bytes as f64 / 1e3);
+        registered = size;
+        let (process, file_bytes) = start_agent_with_list(site, api, size).await?;
+        agent_memory.add_point(size, process.usage()?.resident_mb);
+        agent_file.add_point(size, file_bytes as f64 / 1e3);
         process.kill().await?;
-        memory.add(size, watched[0].usage()?.resident_mb);
-        other.add(size, watched[1].usage()?.resident_mb);
+        leader_memory.add_point(size, processes[0].usage()?.resident_mb);
+        follower_memory.add_point(size, processes[1].usage()?.resident_mb);
     }
-    [memory, other].iter().chain(&cpu).chain(&[agent, disk]).for_each(Series::print);
+    let series = [leader_memory, follower_memory];
+    series.iter().chain(&cpu).chain(&[agent_memory, agent_file]).for_each(Series::print_row);
     Ok(())
 }
 
-/// An agent that has a list of this size, and the size of its file.
-async fn agent_with(site: &Site, api: &Api, size: usize) -> anyhow::Result<(Process, u64)> {
-    let cache = site.folder().join(format!("capacity-{size}.list"));
-    let config = json!({"agent": {"listen": "127.0.0.1:0", "registry": [api.at.trim_start_matches("http://")],
-        "cache": cache, "members": []}});
-    let file = site.folder().join("capacity-agent.toml");
-    std::fs::write(&file, toml(&config))?;
+/// Starts an agent and waits until it has a list of `size` members on disk. Returns it with the size of the file.
+async fn start_agent_with_list(site: &Site, api: &Api, size: usize) -> anyhow::Result<(Process, u64)> {
+    let cache = site.dir().join(format!("capacity-{size}.list"));
+    let config = json!({"agent": {"listen": "127.0.0.1:0", "registry": [api.authority()], "cache": cache,
+        "members": []}});
+    let file = site.dir().join("capacity-agent.toml");
+    std::fs::write(&file, agent_toml(&config))?;
     let args = vec!["agent".into(), "--config".into(), file.to_string_lossy().into_owned()];
-    let program = Program { name: "agent", file: &site.programs().fircroft, args, env: Vec::new() };
-    let (process, ()) =
-        Process::start(program, |line| line.starts_with("agent ready ").then_some(())).await?;
+    let spec = ProcessSpec { name: "agent", executable: &site.binaries().fircroft, args, env: Vec::new() };
+    let (process, ()) = Process::start(spec, |line| line.starts_with("agent ready ").then_some(())).await?;
     let start = Instant::now();
     loop {
         let bytes = std::fs::metadata(&cache).map_or(0, |file| file.len());
-        if bytes > size as u64 * 50 {
+        if bytes > size as u64 * MIN_LIST_BYTES_PER_MEMBER {
             sleep(Duration::from_millis(300)).await;
             return Ok((process, bytes));
         }
-        anyhow::ensure!(start.elapsed() < crate::site::PATIENCE, "no list:\n{}", process.log());
+        anyhow::ensure!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "the agent has not written the list:\n{}",
+            process.log()
+        );
         sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// The one table that an agent's file has.
-fn toml(config: &Value) -> String {
+/// Formats an agent's configuration as TOML: it has one table, `agent`.
+fn agent_toml(config: &Value) -> String {
     let fields = config["agent"].as_object().into_iter().flatten();
     let lines = fields.map(|(name, value)| format!("{name} = {value}\n")).collect::<String>();
     format!("[agent]\n{lines}")
 }
 
-/// What the watches of one part heard.
+/// What the open watches have received.
 #[derive(Default)]
-struct Heard {
+struct WatchStats {
     bytes: Cell<u64>,
-    /// Watches that have heard of the change that is looked for.
-    of: RefCell<String>,
-    count: Cell<usize>,
+    /// The id, in quotes, of the member whose change is waited for; empty if none is.
+    awaited_id: RefCell<String>,
+    /// Number of watches that have received that change.
+    notified: Cell<usize>,
 }
 
-async fn watch(at: String, from: u64, heard: Rc<Heard>) -> anyhow::Result<()> {
-    let mut stream = TcpStream::connect(at.trim_start_matches("http://")).await?;
-    let asks = format!("GET /v1/watch?index={from} HTTP/1.1\r\nHost: x\r\n\r\n");
-    stream.write_all(asks.as_bytes()).await?;
+async fn open_watch(authority: String, from: u64, stats: Rc<WatchStats>) -> anyhow::Result<()> {
+    let mut stream = TcpStream::connect(authority).await?;
+    let request = format!("GET /v1/watch?index={from} HTTP/1.1\r\nHost: x\r\n\r\n");
+    stream.write_all(request.as_bytes()).await?;
     let mut buffer = vec![0; 1 << 16];
     loop {
         let read = stream.read(&mut buffer).await?;
         anyhow::ensure!(read > 0, "the watch ended");
-        heard.bytes.set(heard.bytes.get() + read as u64);
-        let of = heard.of.borrow();
-        if !of.is_empty() && buffer[..read].windows(of.len()).any(|part| part == of.as_bytes()) {
-            heard.count.set(heard.count.get() + 1);
+        stats.bytes.set(stats.bytes.get() + read as u64);
+        let id = stats.awaited_id.borrow();
+        if !id.is_empty() && buffer[..read].windows(id.len()).any(|part| part == id.as_bytes()) {
+            stats.notified.set(stats.notified.get() + 1);
         }
     }
 }
 
-/// The watches are the leader's: what a replica pays for as many.
-async fn watches(site: &Site, api: &Api, leader: usize) -> anyhow::Result<()> {
-    let mut rest = Series::new("a replica, a second at rest by agents that watch it", "ms");
+/// Measures the leader by the number of watches that are open on it, at rest and for a change. All watches are the
+/// leader's, so the result is what any replica needs for as many.
+async fn measure_watches(site: &Site, api: &Api, leader: usize) -> anyhow::Result<()> {
+    let mut at_rest = Series::new("a replica, a second at rest by agents that watch it", "ms");
     let mut change = Series::new("a replica, a change by agents that watch it", "ms");
     let mut memory = Series::new("a replica, memory by agents that watch it", "MB");
-    let mut late = Series::new("a change to the last of the agents that watch, median", "ms");
-    let (mut rest_bytes, mut change_bytes) = (0.0, 0.0);
+    let mut latency = Series::new("a change to the last of the agents that watch, median", "ms");
+    let (mut rest_bytes_per_s, mut change_bytes) = (0.0, 0.0);
     let process = [site.replicas[leader].as_ref().context("the replica is down")?];
-    for (round, nodes) in NODES.into_iter().enumerate() {
-        let (heard, from) = (Rc::new(Heard::default()), api.revision().await?);
-        let open: Vec<_> =
-            (0..nodes).map(|_| spawn_local(watch(api.at.clone(), from, heard.clone()))).collect();
+    for (round, watchers) in NODE_COUNTS.into_iter().enumerate() {
+        let (stats, from) = (Rc::new(WatchStats::default()), api.fetch_revision().await?);
+        let watches: Vec<_> = (0..watchers)
+            .map(|_| spawn_local(open_watch(api.authority().to_owned(), from, stats.clone())))
+            .collect();
         sleep(Duration::from_secs(1)).await;
-        heard.bytes.set(0);
-        let (cpu, ()) = cpu_of(&process, async || {
-            sleep(SPAN).await;
+        stats.bytes.set(0);
+        let (cpu_s, ()) = measure_cpu_s(&process, async || {
+            sleep(MEASUREMENT_TIME).await;
             Ok(())
         })
         .await?;
-        rest.add(nodes, cpu[0] / SPAN.as_secs_f64() * 1e3);
-        let quiet = heard.bytes.replace(0) as f64 / nodes as f64 / SPAN.as_secs_f64();
-        let mut times = Vec::new();
+        let rest_cpu_ms_per_s = cpu_s[0] / MEASUREMENT_TIME.as_secs_f64() * 1e3;
+        at_rest.add_point(watchers, rest_cpu_ms_per_s);
+        rest_bytes_per_s = stats.bytes.replace(0) as f64 / watchers as f64 / MEASUREMENT_TIME.as_secs_f64();
+        let mut latencies_ms = Vec::new();
         let start = Instant::now();
-        let (cpu, ()) = cpu_of(&process, async || {
-            for n in 0..CHANGES {
-                *heard.of.borrow_mut() = format!("\"s-{n:08x}\"");
-                heard.count.set(0);
+        let (cpu_s, ()) = measure_cpu_s(&process, async || {
+            for n in 0..CHANGE_COUNT {
+                *stats.awaited_id.borrow_mut() = format!("\"s-{n:08x}\"");
+                stats.notified.set(0);
                 let phase = if round % 2 == 0 { "terminating" } else { "in_service" };
-                let began = Instant::now();
-                api.command(&format!("change-{nodes}-{n}"), &put(n, phase)).await.context("a change")?;
-                while heard.count.get() < nodes {
-                    anyhow::ensure!(began.elapsed() < crate::site::PATIENCE, "{} heard", heard.count.get());
+                let sent_at = Instant::now();
+                api.send_command(&format!("change-{watchers}-{n}"), &put_command(n, phase))
+                    .await
+                    .context("the change was not carried out")?;
+                while stats.notified.get() < watchers {
+                    anyhow::ensure!(
+                        sent_at.elapsed() < WAIT_TIMEOUT,
+                        "only {} watches received the change",
+                        stats.notified.get()
+                    );
                     sleep(Duration::from_millis(1)).await;
                 }
-                times.push(began.elapsed().as_secs_f64() * 1e3);
+                latencies_ms.push(sent_at.elapsed().as_secs_f64() * 1e3);
                 sleep(Duration::from_millis(20)).await;
             }
             Ok(())
         })
         .await?;
-        let quiet_cpu = cpu_rest(&rest) * start.elapsed().as_secs_f64() / 1e3;
-        change.add(nodes, (cpu[0] - quiet_cpu).max(0.0) / CHANGES as f64 * 1e3);
-        let all = heard.bytes.get() as f64 / nodes as f64;
-        change_bytes = (all - quiet * start.elapsed().as_secs_f64()) / CHANGES as f64;
-        rest_bytes = quiet;
-        times.sort_by(f64::total_cmp);
-        late.add(nodes, times[times.len() / 2]);
-        memory.add(nodes, process[0].usage()?.resident_mb);
-        open.iter().for_each(tokio::task::JoinHandle::abort);
+        let rest_cpu_s = rest_cpu_ms_per_s * start.elapsed().as_secs_f64() / 1e3;
+        change.add_point(watchers, (cpu_s[0] - rest_cpu_s).max(0.0) / CHANGE_COUNT as f64 * 1e3);
+        let bytes = stats.bytes.get() as f64 / watchers as f64;
+        change_bytes = (bytes - rest_bytes_per_s * start.elapsed().as_secs_f64()) / CHANGE_COUNT as f64;
+        latencies_ms.sort_by(f64::total_cmp);
+        latency.add_point(watchers, latencies_ms[latencies_ms.len() / 2]);
+        memory.add_point(watchers, process[0].usage()?.resident_mb);
+        watches.iter().for_each(tokio::task::JoinHandle::abort);
     }
-    [rest, change, memory, late].iter().for_each(Series::print);
-    println!("| an agent's watch | {rest_bytes:.0} bytes a second at rest, {change_bytes:.0} a change | | |");
+    [at_rest, change, memory, latency].iter().for_each(Series::print_row);
+    println!(
+        "| an agent's watch | {rest_bytes_per_s:.0} bytes a second at rest, {change_bytes:.0} a change | | |"
+    );
     Ok(())
 }
 
-/// The last figure of a series.
-fn cpu_rest(series: &Series) -> f64 {
-    series.points.last().map_or(0.0, |point| point.1)
-}
-
-/// Commands at a rate for a time: the processor time of the leader and of a follower, and what part was answered
-/// as done within the time.
-async fn at_rate(
+/// Sends commands at a constant rate for [`MEASUREMENT_TIME`]. Returns the processor time of each replica in seconds,
+/// and the part of the commands that were carried out within that time.
+async fn send_at_rate(
     site: &Site,
     api: &Api,
-    places: [usize; 2],
+    replicas: [usize; 2],
     per_s: f64,
     command: impl Fn(usize) -> Value,
 ) -> anyhow::Result<(Vec<f64>, f64)> {
     static ROUND: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let round = ROUND.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let (done, out) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0usize)));
-    let count = (per_s * SPAN.as_secs_f64()) as usize;
-    let (cpu, ()) = cpu_of(&processes(site, places)?, async || {
+    let (done, in_flight) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0usize)));
+    let count = (per_s * MEASUREMENT_TIME.as_secs_f64()) as usize;
+    let (cpu_s, ()) = measure_cpu_s(&replica_processes(site, replicas)?, async || {
         let mut timer = interval(Duration::from_secs_f64(1.0 / per_s));
         timer.set_missed_tick_behavior(MissedTickBehavior::Burst);
         for n in 0..count {
             timer.tick().await;
-            // What does not get through is not heaped up.
-            if out.get() >= 512 {
+            // Bounds the backlog if the replica is slower than the rate.
+            if in_flight.get() >= MAX_IN_FLIGHT_AT_RATE {
                 continue;
             }
-            let (api, done, out, command) = (api.clone(), done.clone(), out.clone(), command(n));
-            out.set(out.get() + 1);
+            let (api, done, in_flight, command) = (api.clone(), done.clone(), in_flight.clone(), command(n));
+            in_flight.set(in_flight.get() + 1);
             spawn_local(async move {
-                let ok = api.command(&format!("rate-{round}-{n}"), &command).await.is_some();
-                done.set(done.get() + usize::from(ok));
-                out.set(out.get() - 1);
+                let is_done = api.send_command(&format!("rate-{round}-{n}"), &command).await.is_some();
+                done.set(done.get() + usize::from(is_done));
+                in_flight.set(in_flight.get() - 1);
             });
         }
         Ok(())
     })
     .await?;
-    let part = done.get() as f64 / count as f64;
+    let done_part = done.get() as f64 / count as f64;
     let start = Instant::now();
-    while out.get() > 0 && start.elapsed() < Duration::from_secs(10) {
+    while in_flight.get() > 0 && start.elapsed() < Duration::from_secs(10) {
         sleep(Duration::from_millis(20)).await;
     }
-    Ok((cpu, part))
+    Ok((cpu_s, done_part))
 }
 
-/// Agents of nodes that say twice a second what their node acts on.
-async fn reports(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
+/// Measures the reports that the agents of nodes send twice a second, by the number of nodes.
+async fn measure_reports(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
     let mut cpu = [
         Series::new("leader, a second of the audit by nodes that report", "ms"),
         Series::new("follower, the same", "ms"),
     ];
-    let mut through = Series::new("reports that were taken in time, by nodes", "of 1");
-    for n in 0..NODES[NODES.len() - 1] {
+    let mut done = Series::new("reports that were taken in time, by nodes", "of 1");
+    for n in 0..NODE_COUNTS[NODE_COUNTS.len() - 1] {
         let member = json!({"id": format!("n{n}"), "role": "node", "pool": "nodes", "zone": format!("zone-{}", n % 34),
             "host_port": format!("127.1.1.1:{}", n + 1), "incarnation": 1});
-        api.command(&format!("node-{n}"), &json!({"put": {"member": member}})).await.context("a node")?;
+        api.send_command(&format!("node-{n}"), &json!({"put": {"member": member}}))
+            .await
+            .context("the node was not registered")?;
     }
-    let revision = api.revision().await?;
+    let revision = api.fetch_revision().await?;
     let mut bytes = 0;
-    for nodes in NODES {
-        let word = |n: usize| {
+    for nodes in NODE_COUNTS {
+        let report = |n: usize| {
             json!({"audit": [{"reported": {"node": format!("n{}", n % nodes), "incarnation": 1, "standing": revision,
                 "oldest": revision, "decided": [[revision, 10]], "refuses": null,
                 "at": {"after": 0, "unix_ms": 0}}}]})
         };
-        bytes = json!({"request": "0123456789abcdef0123456789abcdef", "command": word(0)}).to_string().len();
-        let (used, part) = at_rate(site, api, [leader, follower], nodes as f64 * 2.0, word).await?;
-        for (series, used) in cpu.iter_mut().zip(used) {
-            series.add(nodes, used / SPAN.as_secs_f64() * 1e3);
+        bytes =
+            json!({"request": "0123456789abcdef0123456789abcdef", "command": report(0)}).to_string().len();
+        let (cpu_s, done_part) =
+            send_at_rate(site, api, [leader, follower], nodes as f64 * 2.0, report).await?;
+        for (series, cpu_s) in cpu.iter_mut().zip(cpu_s) {
+            series.add_point(nodes, cpu_s / MEASUREMENT_TIME.as_secs_f64() * 1e3);
         }
-        anyhow::ensure!(part > 0.0, "no report was taken");
-        through.add(nodes, part);
+        anyhow::ensure!(done_part > 0.0, "no report was applied");
+        done.add_point(nodes, done_part);
     }
-    cpu.iter().chain(&[through]).for_each(Series::print);
+    cpu.iter().chain(&[done]).for_each(Series::print_row);
     println!("| a report | {bytes} bytes of body, two a second | | |");
     Ok(())
 }
 
-/// Leases that are renewed through the log.
-async fn renewals(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
+/// Measures renewals of leases, each a command of the log, by their rate.
+async fn measure_renewals(site: &Site, api: &Api, leader: usize, follower: usize) -> anyhow::Result<()> {
     let mut cpu =
         [Series::new("leader, a second by renewals a second", "ms"), Series::new("follower, the same", "ms")];
-    let mut through = Series::new("renewals that were taken in time, by renewals a second", "of 1");
-    for per_s in RENEWALS {
+    let mut done = Series::new("renewals that were taken in time, by renewals a second", "of 1");
+    for per_s in RENEWAL_RATES_PER_S {
         let renew = |n: usize| json!({"renew": {"ids": [format!("s-{:08x}", n % 12_000)]}});
-        let (used, part) = at_rate(site, api, [leader, follower], per_s as f64, renew).await?;
-        for (series, used) in cpu.iter_mut().zip(used) {
-            series.add(per_s, used / SPAN.as_secs_f64() * 1e3);
+        let (cpu_s, done_part) = send_at_rate(site, api, [leader, follower], per_s as f64, renew).await?;
+        for (series, cpu_s) in cpu.iter_mut().zip(cpu_s) {
+            series.add_point(per_s, cpu_s / MEASUREMENT_TIME.as_secs_f64() * 1e3);
         }
-        through.add(per_s, part);
+        done.add_point(per_s, done_part);
     }
-    cpu.iter().chain(&[through]).for_each(Series::print);
+    cpu.iter().chain(&[done]).for_each(Series::print_row);
     Ok(())
 }
--- a/crates/rig/src/events.rs
+++ b/crates/rig/src/events.rs
@@ -1,4 +1,4 @@
-//! The event file: what happened, in JSON lines on one monotonic clock.
+//! The event file of a run: JSON lines with timestamps of one monotonic clock.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -9,55 +9,58 @@
 use anyhow::Context;
 use serde_json::{json, Value};
 
-/// The file, shared by all parts of one run.
+/// The event file, shared by all parts of one run.
 #[derive(Clone)]
 pub struct Events(Arc<Inner>);
 
 struct Inner {
     start: Instant,
     path: PathBuf,
-    out: Mutex<BufWriter<File>>,
+    writer: Mutex<BufWriter<File>>,
 }
 
 impl Events {
-    /// Begins a file.
+    /// Creates the file and starts the clock.
     ///
     /// # Errors
     ///
-    /// What the disk says.
+    /// Fails if the file cannot be created.
     pub fn create(path: &Path) -> anyhow::Result<Events> {
         let file = File::create(path).with_context(|| path.display().to_string())?;
-        let out = Mutex::new(BufWriter::new(file));
-        Ok(Events(Arc::new(Inner { start: Instant::now(), path: path.to_owned(), out })))
+        let writer = Mutex::new(BufWriter::new(file));
+        Ok(Events(Arc::new(Inner { start: Instant::now(), path: path.to_owned(), writer })))
     }
 
-    /// Microseconds since the run began.
-    pub fn now(&self) -> u64 {
+    /// Microseconds since the file was created.
+    pub fn elapsed_us(&self) -> u64 {
         self.0.start.elapsed().as_micros() as u64
     }
 
-    /// Writes an event. `fields` is an object.
+    /// Writes an event. `fields` is a JSON object.
     pub fn emit(&self, kind: &str, fields: Value) {
-        let mut line = json!({"us": self.now(), "kind": kind});
-        if let (Some(line), Value::Object(fields)) = (line.as_object_mut(), fields) {
-            line.extend(fields);
+        let mut event = json!({"us": self.elapsed_us(), "kind": kind});
+        if let (Some(event), Value::Object(fields)) = (event.as_object_mut(), fields) {
+            event.extend(fields);
         }
-        // A full disk shows when the file is read: it is counted there.
-        if let Ok(mut out) = self.0.out.lock() {
-            let _ = writeln!(out, "{line}");
+        // A failed write, as on a full disk, is detected when the file is read: lines are missing or incomplete.
+        if let Ok(mut writer) = self.0.writer.lock() {
+            let _ = writeln!(writer, "{event}");
         }
     }
 
-    /// All events so far.
+    /// Reads all events so far.
     ///
     /// # Errors
     ///
-    /// What the disk says, and a line that is not whole.
+    /// Fails if the file cannot be written or read, or if a line is incomplete.
     pub fn read(&self) -> anyhow::Result<Vec<Value>> {
-        let mut out = self.0.out.lock().map_err(|_| anyhow::anyhow!("the event file: a writer failed"))?;
-        out.flush().context("the event file")?;
+        let mut writer =
+            self.0.writer.lock().map_err(|_| anyhow::anyhow!("event file: a writer panicked"))?;
+        writer.flush().context("flush the event file")?;
         let text =
             std::fs::read_to_string(&self.0.path).with_context(|| self.0.path.display().to_string())?;
-        text.lines().map(|line| serde_json::from_str(line).context("a line of the event file")).collect()
+        text.lines()
+            .map(|line| serde_json::from_str(line).context("parse a line of the event file"))
+            .collect()
     }
 }
--- a/crates/rig/src/fake_server.rs
+++ b/crates/rig/src/fake_server.rs
@@ -1,5 +1,5 @@
-//! A stand-in for an app server: it serves, counts on which revision attempts were decided, refuses those below the
-//! floor, and says to its agent what it saw.
+//! A fake application server. It serves requests, counts on which revision each attempt was decided, refuses
+//! attempts below the floor, and reports its observations to its agent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,18 +17,22 @@
 
 use crate::events::Events;
 
-/// How long a request takes, and how often the agent is told.
-const WORK: Duration = Duration::from_millis(2);
-const EACH: Duration = Duration::from_millis(200);
-/// Requests of one sight that are named.
-const NAMED: usize = 16;
-
-/// A running stand-in; it ends with the runtime.
+/// How long the server works on a request.
+const SERVICE_TIME: Duration = Duration::from_millis(2);
+/// Time between two reports to the agent.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of requests after a drain that one observation lists by id.
+const MAX_REQUESTS_AFTER_DRAIN: usize = 16;
+/// Number of observations that wait for the agent; the oldest are dropped.
+const MAX_PENDING_OBSERVATIONS: usize = 1_000;
+
+/// A running fake server. It ends with the runtime.
 #[derive(Clone)]
 pub struct FakeServer {
-    /// Its id.
+    /// The server's id.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     inner: Arc<Mutex<Inner>>,
 }
@@ -37,16 +41,18 @@
 struct Inner {
     agent: Option<SocketAddr>,
     floor: u64,
-    heard: u64,
-    draining: bool,
-    sights: BTreeMap<(String, u64, u64), Sight>,
+    /// The newest clock value that the agent has sent.
+    agent_clock: u64,
+    is_draining: bool,
+    /// Observations since the last report, by node, incarnation and revision.
+    observations: BTreeMap<(String, u64, u64), Observation>,
 }
 
 #[derive(Default)]
-struct Sight {
+struct Observation {
     count: u64,
     refused: u64,
-    drained: Vec<String>,
+    requests_after_drain: Vec<String>,
 }
 
 #[derive(Clone)]
@@ -56,43 +62,43 @@
     events: Events,
 }
 
-/// What a header of the form `node/process/revision` says.
-pub fn acted_on(headers: &HeaderMap) -> Option<(String, u64, u64)> {
-    let mut parts = headers.get("x-acted-on")?.to_str().ok()?.rsplitn(3, '/');
-    let (revision, process, node) = (parts.next()?, parts.next()?, parts.next()?);
-    Some((node.to_owned(), process.parse().ok()?, revision.parse().ok()?))
+/// Parses the header `x-acted-on: NODE/INCARNATION/REVISION`.
+pub fn parse_acted_on(headers: &HeaderMap) -> Option<(String, u64, u64)> {
+    let mut fields = headers.get("x-acted-on")?.to_str().ok()?.rsplitn(3, '/');
+    let (revision, incarnation, node) = (fields.next()?, fields.next()?, fields.next()?);
+    Some((node.to_owned(), incarnation.parse().ok()?, revision.parse().ok()?))
 }
 
 impl FakeServer {
-    /// Starts one on a port of the system's choice.
+    /// Starts a server on a port that the system chooses.
     ///
     /// # Errors
     ///
-    /// Where there is no socket.
+    /// Fails if the system provides no socket.
     pub async fn start(id: &str, events: Events) -> anyhow::Result<FakeServer> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.context("a server's socket")?;
+        let listener = TcpListener::bind("127.0.0.1:0").await.context("open a server's socket")?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(Mutex::new(Inner::default()));
         let shared = Shared { id: id.to_owned(), inner: inner.clone(), events };
-        let telling = shared.clone();
-        tokio::spawn(async move { tell(telling).await });
-        tokio::spawn(
-            async move { axum::serve(listener, Router::new().fallback(serve).with_state(shared)).await },
-        );
+        let reporting = shared.clone();
+        tokio::spawn(async move { report_observations(reporting).await });
+        tokio::spawn(async move {
+            axum::serve(listener, Router::new().fallback(serve_request).with_state(shared)).await
+        });
         Ok(FakeServer { id: id.to_owned(), addr, inner })
     }
 
-    /// Its agent is here from now on.
+    /// Sets the address of the agent. Until then the server reports nothing.
     pub fn set_agent(&self, agent: SocketAddr) {
         lock(&self.inner).agent = Some(agent);
     }
 
-    /// It drains from now on, or no longer.
-    pub fn set_draining(&self, draining: bool) {
-        lock(&self.inner).draining = draining;
+    /// Sets whether the server drains: it serves on, and reports the requests that still arrive.
+    pub fn set_draining(&self, is_draining: bool) {
+        lock(&self.inner).is_draining = is_draining;
     }
 
-    /// The floor that it was told.
+    /// The highest floor that the agent has sent.
     pub fn floor(&self) -> u64 {
         lock(&self.inner).floor
     }
@@ -102,69 +108,70 @@
     inner.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn serve(State(shared): State<Shared>, headers: HeaderMap) -> Response {
+async fn serve_request(State(shared): State<Shared>, headers: HeaderMap) -> Response {
     let request = headers.get("x-txn").and_then(|id| id.to_str().ok()).unwrap_or_default().to_owned();
-    let Some((node, incarnation, revision)) = acted_on(&headers) else {
+    let Some((node, incarnation, revision)) = parse_acted_on(&headers) else {
         return (StatusCode::BAD_REQUEST, "no revision").into_response();
     };
-    let runs = {
+    let is_served = {
         let mut inner = lock(&shared.inner);
-        let (floor, draining) = (inner.floor, inner.draining);
-        let sight = inner.sights.entry((node.clone(), incarnation, revision)).or_default();
-        sight.count += 1;
-        if draining && sight.drained.len() < NAMED {
-            sight.drained.push(request.clone());
+        let (floor, is_draining) = (inner.floor, inner.is_draining);
+        let observation = inner.observations.entry((node.clone(), incarnation, revision)).or_default();
+        observation.count += 1;
+        if is_draining && observation.requests_after_drain.len() < MAX_REQUESTS_AFTER_DRAIN {
+            observation.requests_after_drain.push(request.clone());
         }
-        let runs = revision >= floor;
-        sight.refused += u64::from(!runs);
+        let is_served = revision >= floor;
+        observation.refused += u64::from(!is_served);
         shared.events.emit(
             "attempt",
             json!({"server": shared.id, "node": node, "incarnation": incarnation, "revision": revision,
-                "floor": floor, "ran": runs, "draining": draining, "request": request}),
+                "floor": floor, "ran": is_served, "draining": is_draining, "request": request}),
         );
-        runs
+        is_served
     };
-    if !runs {
-        // It never ran: the node may send it elsewhere.
+    if !is_served {
+        // The header says that the attempt never ran, so the node may retry it on another server.
         return (StatusCode::SERVICE_UNAVAILABLE, [("x-turned-away", "1")], "below the floor")
             .into_response();
     }
-    sleep(WORK).await;
+    sleep(SERVICE_TIME).await;
     request.into_response()
 }
 
-/// Tells the agent what was seen, and hears the floor.
-async fn tell(shared: Shared) {
-    let Ok(http) = reqwest::Client::builder().no_proxy().timeout(Duration::from_secs(1)).build() else {
+/// Reports the observations to the agent at regular intervals, and takes the clock and the floor from its responses.
+async fn report_observations(shared: Shared) {
+    let Ok(http) = reqwest::Client::builder().no_proxy().timeout(REPORT_TIMEOUT).build() else {
         return;
     };
-    let mut waiting: Vec<Value> = Vec::new();
+    let mut pending: Vec<Value> = Vec::new();
     loop {
-        sleep(EACH).await;
-        let (agent, heard) = {
+        sleep(REPORT_INTERVAL).await;
+        let (agent, agent_clock) = {
             let mut inner = lock(&shared.inner);
-            for ((node, incarnation, revision), sight) in std::mem::take(&mut inner.sights) {
-                waiting.push(json!({"node": node, "incarnation": incarnation, "revision": revision,
-                    "count": sight.count, "refused": sight.refused, "drained": sight.drained}));
+            for ((node, incarnation, revision), observation) in std::mem::take(&mut inner.observations) {
+                pending.push(json!({"node": node, "incarnation": incarnation, "revision": revision,
+                    "count": observation.count, "refused": observation.refused,
+                    "drained": observation.requests_after_drain}));
             }
-            (inner.agent, inner.heard)
+            (inner.agent, inner.agent_clock)
         };
         let Some(agent) = agent else { continue };
-        // A word that did not arrive is said with the next one; what is too old to matter goes.
-        let late = waiting.len().saturating_sub(1_000);
-        waiting.drain(..late);
-        let word = json!({"server": shared.id, "heard": heard, "attempts": waiting});
-        let Ok(answer) = http.post(format!("http://{agent}/v1/seen")).json(&word).send().await else {
+        // Observations that did not reach the agent are sent again with the next report, except for the oldest.
+        let excess = pending.len().saturating_sub(MAX_PENDING_OBSERVATIONS);
+        pending.drain(..excess);
+        let report = json!({"server": shared.id, "heard": agent_clock, "attempts": pending});
+        let Ok(response) = http.post(format!("http://{agent}/v1/seen")).json(&report).send().await else {
             continue;
         };
-        if !answer.status().is_success() {
+        if !response.status().is_success() {
             continue;
         }
-        let Ok(answer) = answer.json::<Value>().await else { continue };
-        waiting.clear();
+        let Ok(body) = response.json::<Value>().await else { continue };
+        pending.clear();
         let mut inner = lock(&shared.inner);
-        inner.heard = inner.heard.max(answer["clock"].as_u64().unwrap_or(0));
-        let floor = answer["floor"].as_u64().unwrap_or(0);
+        inner.agent_clock = inner.agent_clock.max(body["clock"].as_u64().unwrap_or(0));
+        let floor = body["floor"].as_u64().unwrap_or(0);
         if floor > inner.floor {
             inner.floor = floor;
             shared.events.emit("floor_told", json!({"server": shared.id, "floor": floor}));
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,13 +1,14 @@
-//! Several processes of fircroft between stand-ins, with faults on every link, and checkers of what happened.
+//! Runs several processes of fircroft on loopback, injects faults into them and into the links between them, and
+//! checks what happened.
 //!
-//! The guarantees:
+//! Invariants:
 //!
-//! 1. Every port is the system's choice; every link between two parties leads through a [`relay::Relay`], which can
-//!    cut it, silence it in one or both directions, delay it, or reset it.
-//! 2. What happens is written to one file of JSON lines on one monotonic clock ([`events::Events`]); the checkers
-//!    read that file and what the registry answers, and nothing else.
-//! 3. Nothing is left behind: a process ends with the thread that started it, also where that is killed.
-//! 4. A fault that could not be put in force ends the run as void, and says so.
+//! 1. The system chooses every port. Every link between two parties leads through a [`relay::Relay`], which can cut
+//!    it, silence it in one or both directions, delay it, or close it after a number of bytes.
+//! 2. All events of a run are written to one file of JSON lines with timestamps of one monotonic clock
+//!    ([`events::Events`]). The checkers read that file and the registry's responses, and nothing else.
+//! 3. No process is left behind: each ends with the thread that started it, also if that thread is killed.
+//! 4. A run whose fault could not be injected ends as void, with a message that says so.
 
 pub mod binaries;
 pub mod capacity;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,23 +1,32 @@
-//! `rig site`: a fleet at work on loopback. Three replicas, agents, nodes, stand-in servers and load; one node is a
-//! straggler, the leader is killed, and what the audit says is printed as it goes.
+//! The program `rig`: `rig site` demonstrates a deployment with faults, `rig capacity` measures what each role costs.
+//!
+//! `rig site` runs three replicas, agents, nodes, fake servers and a load generator on loopback. One node is a
+//! straggler and the leader is killed. The audit's verdicts are printed as they are made, and the guarantees are
+//! checked at the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use anyhow::{ensure, Context};
-use rig::checker::{faults, Case};
-use rig::site::{audit_times, Plan, Site};
+use rig::checker::{find_violations, RunRecord};
+use rig::site::{audit_config, Site, SiteConfig};
 use serde_json::Value;
 use tokio::time::{sleep, Instant};
 
-const USAGE: &str = "rig site [--seed N]   shows a fleet at work, in at most a minute once it is built\n\
-    rig capacity          measures what each role costs by size, for docs/CAPACITY.md; some minutes\n\n\
-    Exit codes: 0 all guarantees were kept, 1 one was not or a process failed, 2 wrong use";
-/// The whole show, from the first process on.
-const LONGEST: Duration = Duration::from_secs(60);
-/// The straggler's place: it takes each list and acts on none.
-const STUCK: usize = 4;
+const USAGE: &str =
+    "rig site [--seed N]   demonstrates a deployment with faults, in at most a minute once it is built\n\
+    rig capacity          measures what each role costs by size, for docs/CAPACITY.md; takes some minutes\n\n\
+    Exit codes: 0 all guarantees were kept, 1 a guarantee was violated or a process failed, 2 wrong usage";
+const USAGE_EXIT_CODE: u8 = 2;
+/// Time limit of the demonstration, from the start of the first process.
+const DEMO_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long after its start the demonstration restarts the killed leader, once there is a new one.
+const RESTART_LEADER_AFTER: Duration = Duration::from_secs(8);
+/// Time between two changes of the list.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
+/// Index of the straggler: a node that takes each list and acts on none.
+const STUCK_NODE: usize = 4;
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -25,18 +34,18 @@
         ["site"] => Some(1),
         ["site", "--seed", seed] => seed.parse().ok(),
         ["capacity"] => {
-            return ended(rig::site::run(rig::capacity::measure));
+            return report_result(rig::site::run_scenario(rig::capacity::measure));
         }
         _ => None,
     };
     let Some(seed) = seed else {
         eprintln!("{USAGE}");
-        return ExitCode::from(2);
+        return ExitCode::from(USAGE_EXIT_CODE);
     };
-    ended(rig::site::run(|| show(seed)))
+    report_result(rig::site::run_scenario(|| run_interruptible_demo(seed)))
 }
 
-fn ended(result: anyhow::Result<()>) -> ExitCode {
+fn report_result(result: anyhow::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -46,132 +55,151 @@
     }
 }
 
-async fn show(seed: u64) -> anyhow::Result<()> {
+async fn run_interruptible_demo(seed: u64) -> anyhow::Result<()> {
     tokio::select! {
-        ended = play(seed) => ended,
+        result = run_demo(seed) => result,
         _ = tokio::signal::ctrl_c() => anyhow::bail!("stopped by Ctrl-C: no verdict"),
     }
 }
 
-/// Prints what the audit has written since the last look.
-struct Reader {
-    next: u64,
+/// Prints what happens with the time since the start, and the new entries of the audit's history.
+struct DemoPrinter {
+    next_entry: u64,
     start: Instant,
 }
 
-impl Reader {
-    fn say(&self, text: &str) {
+impl DemoPrinter {
+    fn print(&self, text: &str) {
         println!("{:5.1} s  {text}", self.start.elapsed().as_secs_f64());
     }
 
-    async fn read(&mut self, site: &Site) -> anyhow::Result<()> {
-        let Ok(answer) = site.client.get(&format!("/v1/audit/history?from={}", self.next)).await else {
+    async fn print_new_entries(&mut self, site: &Site) -> anyhow::Result<()> {
+        let path = format!("/v1/audit/history?from={}", self.next_entry);
+        let Ok(response) = site.client.get(&path).await else {
             return Ok(());
         };
-        for line in answer["lines"].as_array().into_iter().flatten() {
-            self.next = line["number"].as_u64().context("a line's number")? + 1;
-            if let Some(text) = words(&line["what"]) {
-                self.say(&text);
+        for entry in response["lines"].as_array().into_iter().flatten() {
+            self.next_entry = entry["number"].as_u64().context("a history entry has no number")? + 1;
+            if let Some(text) = describe_record(&entry["what"]) {
+                self.print(&text);
             }
         }
         Ok(())
     }
 }
 
-/// A verdict in words; what is merely seen has none.
-fn words(what: &Value) -> Option<String> {
-    let (kind, of) = what.as_object()?.iter().next()?;
-    let node = of["node"].as_str().unwrap_or_default();
-    let because = |why: &Value| {
-        let by = why["by"]["server"]
+/// Describes a verdict of the audit's history. `None` for records that are no verdicts.
+fn describe_record(record: &Value) -> Option<String> {
+    let (kind, fields) = record.as_object()?.iter().next()?;
+    let node = fields["node"].as_str().unwrap_or_default();
+    let describe_evidence = |evidence: &Value| {
+        let source = evidence["by"]["server"]
             .as_str()
             .map_or("its own report".to_owned(), |server| format!("server {server}"));
-        format!("acts on {} where {} was due, by {by}", why["revision"], why["needed"])
+        format!("acts on {} where {} was due, by {source}", evidence["revision"], evidence["needed"])
     };
     Some(match kind.as_str() {
-        "climbed" => format!("audit: {node} is {}: {}", of["to"].as_str()?, because(&of["why"])),
+        "climbed" => {
+            format!("audit: {node} is {}: {}", fields["to"].as_str()?, describe_evidence(&fields["why"]))
+        }
         "recovered" => format!("audit: {node} has caught up"),
-        "admitted" => format!("audit: {node} is admitted in {}", of["to"].as_str()?),
-        "floor_rose" => format!("audit: the floor rises from {} to {}", of["from"], of["to"]),
-        "held" => format!("audit: {node} is not shut out: {}", of["why"].as_str()?),
-        "lied" => format!("audit: {node} says {} and acts on {}", of["says"], of["acts"]),
+        "admitted" => format!("audit: {node} is admitted in {}", fields["to"].as_str()?),
+        "floor_rose" => format!("audit: the floor is raised from {} to {}", fields["from"], fields["to"]),
+        "held" => format!("audit: {node} is not shut out: {}", fields["why"].as_str()?),
+        "lied" => format!("audit: {node} reports {} and acts on {}", fields["says"], fields["acts"]),
         "shared" => {
-            format!("audit: {} of {} are behind in {}: a shared cause", of["behind"], of["all"], of["place"])
+            let (behind, total, scope) = (&fields["behind"], &fields["all"], &fields["place"]);
+            format!("audit: {behind} of {total} nodes are behind in {scope}: a shared cause")
         }
-        "not_shared" => format!("audit: no shared cause any more in {}", of["place"]),
-        "lost" => format!("audit: nothing is heard of {node}'s agent"),
+        "not_shared" => format!("audit: no shared cause any more in {}", fields["place"]),
+        "lost" => format!("audit: the lease of {node} has expired"),
         _ => return None,
     })
 }
 
-async fn play(seed: u64) -> anyhow::Result<()> {
+async fn run_demo(seed: u64) -> anyhow::Result<()> {
     println!("building and starting 3 replicas, 12 nodes and 8 servers, each with its agent");
-    let plan = Plan { faults: BTreeMap::from([(STUCK, "stuck")]), ..Plan::default() };
+    let node_faults = BTreeMap::from([(STUCK_NODE, "stuck")]);
+    let config = SiteConfig { node_faults, ..SiteConfig::default() };
     rig::binaries::Binaries::build()?;
     let start = Instant::now();
-    let mut site = Site::start(plan, seed).await?;
-    let mut reader = Reader { next: 1, start };
-    reader.say("all are up; the front sends 150 requests a second");
-    let name = format!("n{STUCK}");
-    let admission = async |site: &Site| {
-        let audit = site.audit().await.unwrap_or_default();
+    let mut site = Site::start(config, seed).await?;
+    let mut printer = DemoPrinter { next_entry: 1, start };
+    printer.print("all processes are ready; the load generator sends 150 requests per second");
+    let name = format!("n{STUCK_NODE}");
+    let fetch_admission = async |site: &Site| {
+        let audit = site.fetch_audit().await.unwrap_or_default();
         audit["nodes"][&name]["admission"].as_str().unwrap_or_default().to_owned()
     };
-    let revision = site.change().await?;
-    reader.say(&format!("the list changes: revision {revision}; {name} takes it and does not act on it"));
+    let revision = site.change_list().await?;
+    printer.print(&format!("the list changes: revision {revision}; {name} takes it and does not act on it"));
     sleep(Duration::from_secs(1)).await;
-    if let Ok(answer) = site.client.get(&format!("/v1/audit/revisions/{revision}")).await {
-        let (spread, acted) = (&answer["spread"], answer["acted"].as_array().map_or(0, Vec::len));
-        reader.say(&format!(
+    if let Ok(response) = site.client.get(&format!("/v1/audit/revisions/{revision}")).await {
+        let (propagation, acted) = (&response["spread"], response["acted"].as_array().map_or(0, Vec::len));
+        printer.print(&format!(
             "revision {revision}: {acted} of {} nodes act on it, half of them after {} ms; waits for {}",
-            spread["nodes"], spread["half_ms"], spread["waits"]
+            propagation["nodes"], propagation["half_ms"], propagation["waits"]
         ));
     }
-    let leader = site.leader().await.context("no leader to kill: void")?;
+    let leader = site.find_leader().await.context("no leader to kill: void")?;
     site.kill_replica(leader).await?;
-    reader.say(&format!("the leader, replica {leader}, is killed"));
-    let mut repaired = false;
-    let mut back = false;
-    let mut restarted = false;
-    while start.elapsed() < LONGEST {
-        sleep(Duration::from_millis(700)).await;
-        reader.read(&site).await?;
-        if !restarted && start.elapsed() > Duration::from_secs(8) && site.leader().await.is_some() {
+    printer.print(&format!("the leader, replica {leader}, is killed"));
+    let mut is_repaired = false;
+    let mut is_readmitted = false;
+    let mut is_leader_restarted = false;
+    while start.elapsed() < DEMO_TIMEOUT {
+        sleep(CHANGE_INTERVAL).await;
+        printer.print_new_entries(&site).await?;
+        if !is_leader_restarted
+            && start.elapsed() > RESTART_LEADER_AFTER
+            && site.find_leader().await.is_some()
+        {
             site.start_replica(leader).await?;
-            reader.say(&format!("replica {leader} is back, from its file"));
-            restarted = true;
+            printer.print(&format!("replica {leader} is restarted from its data directory"));
+            is_leader_restarted = true;
         }
-        let now = admission(&site).await;
-        if !repaired && now == "out" {
-            site.repair_node(STUCK).await?;
-            reader.say(&format!("{name} is restarted without its fault"));
-            repaired = true;
-        } else if repaired && now == "full" {
-            back = true;
+        let admission = fetch_admission(&site).await;
+        if !is_repaired && admission == "out" {
+            site.repair_node(STUCK_NODE).await?;
+            printer.print(&format!("{name} is restarted without its fault"));
+            is_repaired = true;
+        } else if is_repaired && admission == "full" {
+            is_readmitted = true;
             break;
         }
-        site.change().await?;
+        site.change_list().await?;
     }
-    site.front.load_off();
+    site.load_generator.stop();
     sleep(Duration::from_secs(1)).await;
-    reader.read(&site).await?;
-    let (sent, served) = site.front.counts();
-    reader.say(&format!("{served} of {sent} requests were served"));
-    ensure!(back, "{name} was not shut out and back within {LONGEST:?}\n{}", site.logs());
-    let found = verdict(&site, &name).await?;
-    found.iter().for_each(|fault| println!("FAULT {fault}"));
-    ensure!(found.is_empty(), "{} guarantees were broken", found.len());
+    printer.print_new_entries(&site).await?;
+    let (sent, served) = site.load_generator.request_counts();
+    printer.print(&format!("{served} of {sent} requests were served"));
+    ensure!(
+        is_readmitted,
+        "{name} was not shut out and fully readmitted within {DEMO_TIMEOUT:?}\n{}",
+        site.logs()
+    );
+    let violations = check_guarantees(&site, &name).await?;
+    violations.iter().for_each(|violation| println!("VIOLATION {violation}"));
+    ensure!(violations.is_empty(), "guarantees were violated {} times", violations.len());
     println!("checkers: all guarantees kept");
     Ok(())
 }
 
-async fn verdict(site: &Site, faulty: &str) -> anyhow::Result<Vec<String>> {
-    let (events, history) = (site.events.read()?, site.history().await?);
-    let known = site.client.get("/v1/audit/revisions").await?;
-    let revisions = known["revisions"].as_array().into_iter().flatten();
-    let committed: BTreeSet<u64> = revisions.filter_map(|spread| spread["revision"].as_u64()).collect();
-    let part = audit_times(true)["most_out"].as_f64().unwrap_or(0.0);
-    let cap = ((site.plan.nodes as f64 * part).floor() as usize).max(1);
-    let faulty = BTreeSet::from([faulty.to_owned()]);
-    Ok(faults(&Case { events: &events, history: &history, committed: &committed, faulty: &faulty, cap }))
+async fn check_guarantees(site: &Site, faulty_node: &str) -> anyhow::Result<Vec<String>> {
+    let (events, history) = (site.events.read()?, site.fetch_history().await?);
+    let response = site.client.get("/v1/audit/revisions").await?;
+    let revisions = response["revisions"].as_array().into_iter().flatten();
+    let committed: BTreeSet<u64> =
+        revisions.filter_map(|propagation| propagation["revision"].as_u64()).collect();
+    let max_unavailable_part = audit_config(true)["most_out"].as_f64().unwrap_or(0.0);
+    let max_shut_out = ((site.config.nodes as f64 * max_unavailable_part).floor() as usize).max(1);
+    let faulty_nodes = BTreeSet::from([faulty_node.to_owned()]);
+    Ok(find_violations(&RunRecord {
+        events: &events,
+        history: &history,
+        committed: &committed,
+        faulty_nodes: &faulty_nodes,
+        max_shut_out,
+    }))
 }
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -15,58 +15,58 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Longer than any process takes to begin on a machine that works.
-const START: Duration = Duration::from_secs(20);
-/// Lines of a log that are kept.
-const LINES: usize = 400;
+/// Longer than any process takes to become ready on a machine that works.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Number of log lines of a process that are kept.
+const MAX_LOG_LINES: usize = 400;
+/// Unit of the processor times in `/proc/PID/stat`.
+const CPU_TICKS_PER_S: f64 = 100.0;
 
-/// The system's ticks of processor time.
-const TICKS_PER_S: f64 = 100.0;
-
-/// What a process has used.
+/// The resources that a process has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Processor time.
+    /// Processor time since its start, in seconds.
     pub cpu_s: f64,
-    /// Memory that it holds now.
+    /// Resident memory, in MiB.
     pub resident_mb: f64,
 }
 
 /// A running process.
 pub struct Process {
-    /// Its name in this run.
+    /// The name of the process in logs and errors.
     pub name: String,
     child: Child,
     log: Rc<RefCell<VecDeque<String>>>,
 }
 
-/// What to start.
-pub struct Program<'a> {
-    /// Its name in this run.
+/// What to execute.
+pub struct ProcessSpec<'a> {
+    /// The name of the process in logs and errors.
     pub name: &'a str,
-    /// The file.
-    pub file: &'a std::path::Path,
-    /// Its arguments.
+    /// The executable.
+    pub executable: &'a std::path::Path,
+    /// The arguments.
     pub args: Vec<String>,
-    /// Its variables; nothing else is inherited.
+    /// The environment variables. Of those of this process, none are inherited.
     pub env: Vec<(String, String)>,
 }
 
 impl Process {
-    /// Starts a program and waits for the line that says that it is ready: `ready` makes something of it.
+    /// Starts a process and waits until it is ready, which is when `parse_ready` returns a value for one of its
+    /// lines of output. Returns that value with the process.
     ///
     /// # Errors
     ///
-    /// Where it does not start, ends, or does not say so in time; with its log.
+    /// Fails, with the log, if the process does not start, exits, or is not ready in time.
     pub async fn start<T>(
-        program: Program<'_>,
-        ready: impl Fn(&str) -> Option<T>,
+        spec: ProcessSpec<'_>,
+        parse_ready: impl Fn(&str) -> Option<T>,
     ) -> anyhow::Result<(Process, T)> {
-        let Program { name, file, args, env } = program;
-        // The kernel ends it when this thread ends, however that comes about.
+        let ProcessSpec { name, executable, args, env } = spec;
+        // The kernel kills the process when this thread ends for whatever reason.
         let mut child = Command::new("setpriv")
             .args(["--pdeathsig", "KILL"])
-            .arg(file)
+            .arg(executable)
             .args(args)
             .env_clear()
             .envs(env)
@@ -76,25 +76,29 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{name}: start {} with setpriv of util-linux", file.display()))?;
+            .with_context(|| format!("{name}: start {} with setpriv of util-linux", executable.display()))?;
         let log = Rc::new(RefCell::new(VecDeque::new()));
         let (tx, mut lines) = mpsc::unbounded_channel();
-        keep(child.stdout.take(), log.clone(), tx.clone());
-        keep(child.stderr.take(), log.clone(), tx);
-        let said = timeout(START, async {
+        collect_output(child.stdout.take(), log.clone(), tx.clone());
+        collect_output(child.stderr.take(), log.clone(), tx);
+        let ready = timeout(START_TIMEOUT, async {
             while let Some(line) = lines.recv().await {
-                if let Some(found) = ready(&line) {
-                    return Some(found);
+                if let Some(value) = parse_ready(&line) {
+                    return Some(value);
                 }
             }
             None
         });
-        match said.await {
-            Ok(Some(found)) => Ok((Process { name: name.to_owned(), child, log }, found)),
+        match ready.await {
+            Ok(Some(value)) => Ok((Process { name: name.to_owned(), child, log }, value)),
             other => {
                 let lines: Vec<String> = log.borrow().iter().cloned().collect();
-                let why = if other.is_ok() { "it ended" } else { "it does not say that it is ready" };
-                bail!("{name}: {why}:\n{}", lines.join("\n"))
+                let reason = if other.is_ok() {
+                    "exited before it was ready".to_owned()
+                } else {
+                    format!("not ready within {START_TIMEOUT:?}")
+                };
+                bail!("{name}: {reason}:\n{}", lines.join("\n"))
             }
         }
     }
@@ -103,71 +107,77 @@
     ///
     /// # Errors
     ///
-    /// Where there is no such process any more: the fault is not in force.
+    /// Fails if the process has exited, so that the fault could not be injected.
     pub fn signal(&self, signal: Signal) -> anyhow::Result<()> {
-        let pid = self.child.id().with_context(|| format!("{}: it has ended", self.name))?;
+        let pid = self.pid()?;
         kill(Pid::from_raw(pid as i32), signal).with_context(|| format!("{}: {signal}", self.name))
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits until it is gone.
     ///
     /// # Errors
     ///
-    /// What the system says.
+    /// Fails if the system cannot kill it.
     pub async fn kill(mut self) -> anyhow::Result<()> {
         self.child.kill().await.with_context(|| format!("{}: kill", self.name))
     }
 
-    /// Tells it to end and waits, and kills it where it does not.
+    /// Terminates the process with SIGTERM, and kills it if it does not exit within `time_limit`.
     ///
     /// # Errors
     ///
-    /// Where it had ended before, or had to be killed.
-    pub async fn stop(mut self, within: Duration) -> anyhow::Result<()> {
+    /// Fails if the process had exited before, exits with an error, or had to be killed.
+    pub async fn stop(mut self, time_limit: Duration) -> anyhow::Result<()> {
         self.signal(Signal::SIGTERM)?;
-        match timeout(within, self.child.wait()).await {
+        match timeout(time_limit, self.child.wait()).await {
             Ok(status) => {
                 let status = status?;
-                anyhow::ensure!(status.success(), "{}: it ended with {status}", self.name);
+                anyhow::ensure!(status.success(), "{}: exited with {status}", self.name);
                 Ok(())
             }
             Err(_) => {
                 self.child.kill().await?;
-                bail!("{}: it did not end within {within:?} of SIGTERM", self.name)
+                bail!("{}: did not exit within {time_limit:?} of SIGTERM", self.name)
             }
         }
     }
 
-    /// What it has used so far.
+    /// Returns the resources that the process has used so far.
     ///
     /// # Errors
     ///
-    /// Where it has ended.
+    /// Fails if the process has exited.
     pub fn usage(&self) -> anyhow::Result<Usage> {
-        let pid = self.child.id().with_context(|| format!("{}: it has ended", self.name))?;
+        let pid = self.pid()?;
         let read = |file: &str| std::fs::read_to_string(format!("/proc/{pid}/{file}"));
         let (stat, status) = (read("stat")?, read("status")?);
-        // After the name, which may hold anything: utime and stime are the 12th and 13th field, in ticks.
+        // The process name in parentheses may contain anything. In what follows it, utime and stime are the 12th and
+        // 13th field, in ticks.
         let fields: Vec<&str> =
             stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace().collect();
         let ticks: f64 = fields[11..=12].iter().filter_map(|field| field.parse::<f64>().ok()).sum();
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
         let kb: f64 = resident.trim().trim_end_matches(" kB").trim().parse()?;
-        Ok(Usage { cpu_s: ticks / TICKS_PER_S, resident_mb: kb / 1024.0 })
+        Ok(Usage { cpu_s: ticks / CPU_TICKS_PER_S, resident_mb: kb / 1024.0 })
     }
 
-    /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process has not exited.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// The end of its log.
+    /// Returns the last lines of output, each after the process's name.
     pub fn log(&self) -> String {
         self.log.borrow().iter().map(|line| format!("{}: {line}\n", self.name)).collect()
     }
+
+    fn pid(&self) -> anyhow::Result<u32> {
+        self.child.id().with_context(|| format!("{}: has exited", self.name))
+    }
 }
 
-fn keep(
+/// Adds each line of a process's output to `log` and sends it to `tx`.
+fn collect_output(
     pipe: Option<impl AsyncRead + Unpin + 'static>,
     log: Rc<RefCell<VecDeque<String>>>,
     tx: mpsc::UnboundedSender<String>,
@@ -178,10 +188,10 @@
         while let Ok(Some(line)) = lines.next_line().await {
             let mut log = log.borrow_mut();
             log.push_back(line.clone());
-            if log.len() > LINES {
+            if log.len() > MAX_LOG_LINES {
                 log.pop_front();
             }
-            // Nobody waits for the first line any more.
+            // Fails once the process is ready, because the receiver is dropped then.
             let _ = tx.send(line);
         }
     });
--- a/crates/rig/tests/audit/scenarios.rs
+++ b/crates/rig/tests/audit/scenarios.rs
@@ -1,388 +1,425 @@
-//! The hard cases.
+//! The scenarios: a site, the faults that are injected, and what the audit has to make of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use rig::relay::Mode;
-use rig::site::{Plan, Site};
+use rig::site::{Site, SiteConfig, WAIT_TIMEOUT};
 use tokio::time::sleep;
 
-use super::{check, counts_agree, node, play, seed};
+use super::{check_guarantees, node, run_test, seed, wait_for_equal_counts};
 
 /// Changes the list until a condition holds.
-async fn change_until(
+async fn change_list_until(
     site: &mut Site,
-    what: &str,
-    holds: impl AsyncFn(&Site) -> anyhow::Result<bool>,
+    description: &str,
+    condition: impl AsyncFn(&Site) -> anyhow::Result<bool>,
 ) -> anyhow::Result<()> {
     let start = std::time::Instant::now();
-    while start.elapsed() < rig::site::PATIENCE {
-        site.change().await?;
+    while start.elapsed() < WAIT_TIMEOUT {
+        site.change_list().await?;
         for _ in 0..10 {
-            if holds(site).await.unwrap_or(false) {
+            if condition(site).await.unwrap_or(false) {
                 return Ok(());
             }
             sleep(Duration::from_millis(50)).await;
         }
     }
-    let audit = site.audit().await?;
-    anyhow::bail!("not in time: {what}\n{audit:#}\n{}", site.logs())
+    let audit = site.fetch_audit().await?;
+    anyhow::bail!("not within {WAIT_TIMEOUT:?}: {description}\n{audit:#}\n{}", site.logs())
 }
 
-async fn is(site: &Site, name: &str, field: &str, value: &str) -> anyhow::Result<bool> {
-    Ok(node(&site.audit().await?, name)[field] == value)
+/// Whether the audit has this value in a field of a node.
+async fn node_has(site: &Site, name: &str, field: &str, value: &str) -> anyhow::Result<bool> {
+    Ok(node(&site.fetch_audit().await?, name)[field] == value)
 }
 
-// Nothing is wrong: each change reaches all, nobody is judged, and the audit's counts are the event file's.
+// Without faults each change reaches all nodes, no node is shut out, and the audit's counts are those of the event
+// file.
 #[test]
-fn a_sound_fleet_is_left_alone_and_counted_exactly() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
+fn a_healthy_fleet_is_counted_exactly_and_no_verdict_is_made() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
         let mut last = 0;
         for _ in 0..6 {
-            last = site.change().await?;
+            last = site.change_list().await?;
             sleep(Duration::from_millis(300)).await;
         }
-        site.wait("all acted on the last change", async |site| {
-            let answer = site.client.get(&format!("/v1/audit/revisions/{last}")).await?;
-            Ok(answer["spread"]["all_ms"].is_u64())
+        site.wait_until("all nodes have acted on the last change", async |site| {
+            let response = site.client.get(&format!("/v1/audit/revisions/{last}")).await?;
+            Ok(response["spread"]["all_ms"].is_u64())
         })
         .await?;
-        site.front.load_off();
-        counts_agree(&site).await?;
-        let audit = site.audit().await?;
+        site.load_generator.stop();
+        wait_for_equal_counts(&site).await?;
+        let audit = site.fetch_audit().await?;
         anyhow::ensure!(audit["floor"] == 0 && audit["shared"] == serde_json::json!({}), "{audit:#}");
-        check(&site, &[]).await
+        check_guarantees(&site, &[]).await
     });
 }
 
-// One takes lists and does not act on them, one says that it does: both are found, named and shut out, and come
-// back once they are repaired.
+// One node takes lists and does not act on them, another only reports that it does. Both are detected and shut out,
+// and are readmitted once they are repaired.
 #[test]
-fn a_stuck_node_and_a_liar_are_shut_out_and_come_back_once_repaired() {
-    play(|| async {
-        let plan = Plan { faults: BTreeMap::from([(2, "stuck"), (5, "liar")]), ..Plan::default() };
-        let mut site = Site::start(plan, seed()).await?;
-        change_until(&mut site, "the liar is named", async |site| {
-            Ok(node(&site.audit().await?, "n5")["lies"] == true)
+fn a_stuck_and_a_misreporting_node_are_shut_out_and_readmitted_once_repaired() {
+    run_test(|| async {
+        let node_faults = BTreeMap::from([(2, "stuck"), (5, "liar")]);
+        let config = SiteConfig { node_faults, ..SiteConfig::default() };
+        let mut site = Site::start(config, seed()).await?;
+        change_list_until(&mut site, "the reports of n5 are contradicted", async |site| {
+            Ok(node(&site.fetch_audit().await?, "n5")["lies"] == true)
         })
         .await?;
-        // Both are in zone 2 and its cap allows one: the other waits.
-        change_until(&mut site, "one of them is out", async |site| {
-            Ok(is(site, "n2", "admission", "out").await? || is(site, "n5", "admission", "out").await?)
+        // Both are in zone z2, in which one node may be shut out at once: the other one has to wait.
+        change_list_until(&mut site, "one of the two nodes is shut out", async |site| {
+            Ok(node_has(site, "n2", "admission", "out").await?
+                || node_has(site, "n5", "admission", "out").await?)
         })
         .await?;
-        let first = if is(&site, "n2", "admission", "out").await? { 2 } else { 5 };
+        let first = if node_has(&site, "n2", "admission", "out").await? { 2 } else { 5 };
         let (first, second) = (first, 7 - first);
-        let other = format!("n{second}");
-        change_until(&mut site, "the other waits for the cap", async |site| {
-            Ok(site.history().await?.iter().any(|line| line["what"]["held"]["node"] == *other))
+        let second_name = format!("n{second}");
+        change_list_until(&mut site, "the limit defers that the other node is shut out", async |site| {
+            let history = site.fetch_history().await?;
+            Ok(history.iter().any(|entry| entry["what"]["held"]["node"] == *second_name))
         })
         .await?;
-        let floor = site.audit().await?["floor"].as_u64().unwrap_or(0);
-        anyhow::ensure!(floor > 0, "out without a floor");
-        site.wait("all servers know the floor", async |site| {
+        let floor = site.fetch_audit().await?["floor"].as_u64().unwrap_or(0);
+        anyhow::ensure!(floor > 0, "a node is shut out and there is no floor");
+        site.wait_until("all servers have the floor", async |site| {
             Ok(site.servers.iter().all(|server| server.floor() >= floor))
         })
         .await?;
         site.repair_node(first).await?;
-        let name = format!("n{first}");
-        change_until(&mut site, "the first is back", async |site| is(site, &name, "admission", "full").await)
-            .await?;
-        change_until(&mut site, "the second is out", async |site| is(site, &other, "admission", "out").await)
-            .await?;
+        let first_name = format!("n{first}");
+        change_list_until(&mut site, "the first node is fully readmitted", async |site| {
+            node_has(site, &first_name, "admission", "full").await
+        })
+        .await?;
+        change_list_until(&mut site, "the second node is shut out", async |site| {
+            node_has(site, &second_name, "admission", "out").await
+        })
+        .await?;
         site.repair_node(second).await?;
-        change_until(&mut site, "the second is back", async |site| {
-            is(site, &other, "admission", "full").await
+        change_list_until(&mut site, "the second node is fully readmitted", async |site| {
+            node_has(site, &second_name, "admission", "full").await
         })
         .await?;
-        check(&site, &["n2", "n5"]).await
+        check_guarantees(&site, &["n2", "n5"]).await
     });
 }
 
-// The leader is killed at each step of the ladder, and all replicas are killed and come back in the middle.
+// The leader is killed at each escalation step of a straggler. At the second one all replicas are killed and
+// restarted, and the nodes have to serve on without the registry.
 #[test]
-fn the_ladder_goes_on_over_the_loss_of_leaders_and_of_all_replicas() {
-    play(|| async {
-        let plan = Plan { faults: BTreeMap::from([(4, "stuck")]), ..Plan::default() };
-        let mut site = Site::start(plan, seed()).await?;
+fn escalation_continues_after_the_loss_of_leaders_and_of_all_replicas() {
+    run_test(|| async {
+        let node_faults = BTreeMap::from([(4, "stuck")]);
+        let config = SiteConfig { node_faults, ..SiteConfig::default() };
+        let mut site = Site::start(config, seed()).await?;
         for (step, field) in [("told_again", "step"), ("rewatched", "step"), ("out", "admission")] {
-            change_until(&mut site, step, async |site| is(site, "n4", field, step).await).await?;
-            let leader = site.leader().await.ok_or(anyhow::anyhow!("no leader to kill: void"))?;
+            change_list_until(&mut site, step, async |site| node_has(site, "n4", field, step).await).await?;
+            let leader = site.find_leader().await.ok_or(anyhow::anyhow!("no leader to kill: void"))?;
             site.kill_replica(leader).await?;
             if step == "rewatched" {
                 for other in (0..3).filter(|&other| other != leader) {
                     site.kill_replica(other).await?;
                 }
-                let (_, before) = site.front.counts();
+                let (_, served_before) = site.load_generator.request_counts();
                 sleep(Duration::from_secs(1)).await;
                 anyhow::ensure!(
-                    site.front.counts().1 > before + 50,
-                    "the fleet does not serve on without the registry"
+                    site.load_generator.request_counts().1 > served_before + 50,
+                    "the nodes do not serve on without the registry"
                 );
                 for other in (0..3).filter(|&other| other != leader) {
                     site.start_replica(other).await?;
                 }
             }
-            site.wait("a new leader", async |site| Ok(site.leader().await.is_some())).await?;
+            site.wait_until("a new leader", async |site| Ok(site.find_leader().await.is_some())).await?;
             site.start_replica(leader).await?;
         }
-        check(&site, &["n4"]).await
+        check_guarantees(&site, &["n4"]).await
     });
 }
 
-// Stopped under load and continued: it may be found late, and is not shut out.
+// A node is suspended under load and resumed. It may be found behind, and must not stay shut out.
 #[test]
-fn a_node_that_was_stopped_and_goes_on_is_not_shut_out() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        let stopped = |site: &Site, signal| {
-            site.processes[2].as_ref().map(|node| node.signal(signal)).unwrap_or(Ok(()))
+fn a_node_that_was_suspended_and_resumed_is_not_shut_out() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        let signal_node = |site: &Site, signal| {
+            site.nodes[2].as_ref().map(|process| process.signal(signal)).unwrap_or(Ok(()))
         };
-        stopped(&site, Signal::SIGSTOP)?;
+        signal_node(&site, Signal::SIGSTOP)?;
         for _ in 0..6 {
-            site.change().await?;
+            site.change_list().await?;
             sleep(Duration::from_secs(1)).await;
         }
-        stopped(&site, Signal::SIGCONT)?;
-        let last = site.change().await?;
-        site.wait("it acts on the last change", async |site| {
-            Ok(node(&site.audit().await?, "n2")["standing"].as_u64() >= Some(last))
+        signal_node(&site, Signal::SIGCONT)?;
+        let last = site.change_list().await?;
+        site.wait_until("n2 acts on the last change", async |site| {
+            Ok(node(&site.fetch_audit().await?, "n2")["standing"].as_u64() >= Some(last))
         })
         .await?;
         sleep(Duration::from_secs(3)).await;
-        anyhow::ensure!(is(&site, "n2", "admission", "full").await?, "it is shut out");
-        check(&site, &["n2"]).await
+        anyhow::ensure!(node_has(&site, "n2", "admission", "full").await?, "n2 is shut out");
+        check_guarantees(&site, &["n2"]).await
     });
 }
 
-// A whole zone is cut from the registry: the cause is shared, and nobody is shut out.
+// A whole zone is cut off from the registry: the cause is a shared one, and no node is shut out.
 #[test]
 fn a_zone_that_is_cut_off_is_a_shared_cause() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
         let zone = [0, 3, 6, 9];
-        for place in zone {
-            site.nodes[place].links.iter().for_each(|link| link.set(Mode::Silent));
+        for index in zone {
+            site.node_machines[index].registry_links.iter().for_each(|link| link.set_mode(Mode::Silent));
         }
-        change_until(&mut site, "the zone is called a shared cause", async |site| {
-            Ok(site.audit().await?["shared"].get("zone z0 of pool nodes").is_some())
+        change_list_until(&mut site, "the audit finds a shared cause in the zone", async |site| {
+            Ok(site.fetch_audit().await?["shared"].get("zone z0 of pool nodes").is_some())
         })
         .await?;
         for _ in 0..6 {
-            site.change().await?;
+            site.change_list().await?;
             sleep(Duration::from_millis(500)).await;
         }
-        let audit = site.audit().await?;
-        for place in 0..12 {
-            let admission = &node(&audit, &format!("n{place}"))["admission"];
-            anyhow::ensure!(*admission == "full", "n{place} is {admission}");
+        let audit = site.fetch_audit().await?;
+        for index in 0..12 {
+            let admission = &node(&audit, &format!("n{index}"))["admission"];
+            anyhow::ensure!(*admission == "full", "n{index} is {admission}");
         }
-        for place in zone {
-            site.nodes[place].links.iter().for_each(|link| link.set(Mode::Cut));
+        // Connections on which bytes were discarded are unusable: they are closed before the links forward again.
+        for index in zone {
+            site.node_machines[index].registry_links.iter().for_each(|link| link.set_mode(Mode::Cut));
         }
         sleep(Duration::from_millis(100)).await;
-        for place in zone {
-            site.nodes[place].links.iter().for_each(|link| link.set(Mode::Pass));
+        for index in zone {
+            site.node_machines[index].registry_links.iter().for_each(|link| link.set_mode(Mode::Forward));
         }
-        site.wait("the cause is gone", async |site| {
-            Ok(site.audit().await?["shared"] == serde_json::json!({}))
+        site.wait_until("the shared cause is cleared", async |site| {
+            Ok(site.fetch_audit().await?["shared"] == serde_json::json!({}))
         })
         .await?;
-        check(&site, &["n0", "n3", "n6", "n9"]).await
+        check_guarantees(&site, &["n0", "n3", "n6", "n9"]).await
     });
 }
 
-// Cut from the registry but not from the servers: judged by what the servers saw, and back by its own word.
+// A node's agent is cut off from the registry, while the node reaches the servers. The node is shut out by the
+// servers' observations, and readmitted by its own reports.
 #[test]
-fn a_node_whose_agent_is_cut_off_is_judged_by_witnesses_alone() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        site.nodes[7].links.iter().for_each(|link| link.set(Mode::Cut));
-        change_until(&mut site, "it is shut out", async |site| is(site, "n7", "admission", "out").await)
-            .await?;
-        let audit = site.audit().await?;
-        let by = &node(&audit, "n7")["low"]["by"];
-        anyhow::ensure!(by.get("server").is_some(), "not by a server's word: {by}");
-        site.nodes[7].links.iter().for_each(|link| link.set(Mode::Pass));
-        change_until(&mut site, "it is back", async |site| is(site, "n7", "admission", "full").await).await?;
-        check(&site, &["n7"]).await
+fn a_node_whose_agent_is_cut_off_is_judged_by_observations_of_servers() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        site.node_machines[7].registry_links.iter().for_each(|link| link.set_mode(Mode::Cut));
+        change_list_until(&mut site, "n7 is shut out", async |site| {
+            node_has(site, "n7", "admission", "out").await
+        })
+        .await?;
+        let audit = site.fetch_audit().await?;
+        let source = &node(&audit, "n7")["low"]["by"];
+        anyhow::ensure!(
+            source.get("server").is_some(),
+            "the evidence is not a server's observation: {source}"
+        );
+        site.node_machines[7].registry_links.iter().for_each(|link| link.set_mode(Mode::Forward));
+        change_list_until(&mut site, "n7 is fully readmitted", async |site| {
+            node_has(site, "n7", "admission", "full").await
+        })
+        .await?;
+        check_guarantees(&site, &["n7"]).await
     });
 }
 
-// A replica hears nothing of the others and goes on living: its watchers must not take that for silence of the list.
+// A replica receives nothing from the others and keeps running. The agents that watch it must notice that its list
+// does not advance, instead of taking it for a list without changes.
 #[test]
-fn a_replica_that_lags_makes_nobody_late() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        let leader = site.leader().await.ok_or(anyhow::anyhow!("no leader: void"))?;
-        let lags = (leader + 1) % 3;
-        let links = |site: &Site, mode| {
-            let to = site.raft_links.iter().filter(|((_, to), _)| *to == lags);
-            to.for_each(|(_, link)| link.set(mode));
+fn a_replica_that_lags_leaves_no_node_behind() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        let leader = site.find_leader().await.ok_or(anyhow::anyhow!("no leader: void"))?;
+        let lagging = (leader + 1) % 3;
+        let set_links_to_lagging = |site: &Site, mode| {
+            let links = site.raft_links.iter().filter(|((_, to), _)| *to == lagging);
+            links.for_each(|(_, link)| link.set_mode(mode));
         };
-        links(&site, Mode::Silent);
+        set_links_to_lagging(&site, Mode::Silent);
         for _ in 0..12 {
-            site.change().await?;
+            site.change_list().await?;
             sleep(Duration::from_millis(500)).await;
         }
-        links(&site, Mode::Cut);
+        set_links_to_lagging(&site, Mode::Cut);
         sleep(Duration::from_millis(50)).await;
-        links(&site, Mode::Pass);
-        check(&site, &[]).await
+        set_links_to_lagging(&site, Mode::Forward);
+        check_guarantees(&site, &[]).await
     });
 }
 
-// Six of twelve nodes crash on a change: it is named, the floor stays below it, and nobody is shut out.
+// Six of twelve nodes crash on a change: the audit names its revision, keeps the floor below it, and shuts out no
+// node.
 #[test]
-fn a_change_that_nodes_crash_on_halts_the_floor_and_is_named() {
-    play(|| async {
-        let faults = (0..6).map(|place| (place * 2, "crash")).collect();
-        let mut site = Site::start(Plan { faults, ..Plan::default() }, seed()).await?;
-        site.change().await?;
+fn a_change_on_which_nodes_crash_halts_the_floor_and_is_named() {
+    run_test(|| async {
+        let node_faults = (0..6).map(|n| (n * 2, "crash")).collect();
+        let mut site = Site::start(SiteConfig { node_faults, ..SiteConfig::default() }, seed()).await?;
+        site.change_list().await?;
         sleep(Duration::from_secs(1)).await;
-        let bad = site.bad_change().await?;
+        let bad = site.change_list_to_crash_nodes().await?;
         let start = std::time::Instant::now();
-        while site.audit().await?["halted"].is_null() && start.elapsed() < rig::site::PATIENCE {
+        while site.fetch_audit().await?["halted"].is_null() && start.elapsed() < WAIT_TIMEOUT {
             sleep(Duration::from_millis(200)).await;
-            site.restart_ended().await?;
+            site.restart_exited_nodes().await?;
         }
         for _ in 0..8 {
-            site.change().await?;
+            site.change_list().await?;
             sleep(Duration::from_millis(500)).await;
-            site.restart_ended().await?;
+            site.restart_exited_nodes().await?;
         }
-        let audit = site.audit().await?;
-        anyhow::ensure!(audit["halted"] == bad, "halted {} where {bad} is bad", audit["halted"]);
-        anyhow::ensure!(audit["floor"].as_u64() < Some(bad), "the floor reached {}", audit["floor"]);
-        check(&site, &["n0", "n2", "n4", "n6", "n8", "n10"]).await
+        let audit = site.fetch_audit().await?;
+        anyhow::ensure!(
+            audit["halted"] == bad,
+            "the floor is halted at {}, and the nodes crashed on {bad}",
+            audit["halted"]
+        );
+        anyhow::ensure!(audit["floor"].as_u64() < Some(bad), "the floor was raised to {}", audit["floor"]);
+        check_guarantees(&site, &["n0", "n2", "n4", "n6", "n8", "n10"]).await
     });
 }
 
-// Twenty changes a second: nodes act on some of them only, and are not late.
+// At twenty changes a second, nodes act on some of the revisions only, and are not behind.
 #[test]
-fn changes_that_come_faster_than_nodes_act_make_nobody_late() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
+fn changes_faster_than_nodes_act_leave_no_node_behind() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
         let mut last = 0;
         for _ in 0..80 {
-            last = site.change().await?;
+            last = site.change_list().await?;
             sleep(Duration::from_millis(40)).await;
         }
-        site.wait("all acted on the last change", async |site| {
-            let answer = site.client.get(&format!("/v1/audit/revisions/{last}")).await?;
-            Ok(answer["spread"]["all_ms"].is_u64())
+        site.wait_until("all nodes have acted on the last change", async |site| {
+            let response = site.client.get(&format!("/v1/audit/revisions/{last}")).await?;
+            Ok(response["spread"]["all_ms"].is_u64())
         })
         .await?;
-        check(&site, &[]).await
+        check_guarantees(&site, &[]).await
     });
 }
 
-// An agent comes back with an older list on disk: its node is told nothing older than it has.
+// An agent restarts with an older list on disk and cannot reach the registry at first. It must not send its node a
+// list older than the node has.
 #[test]
-fn an_agent_with_an_older_disk_tells_its_node_nothing_older() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        site.change().await?;
+fn an_agent_with_an_older_list_on_disk_does_not_send_it_to_its_node() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        site.change_list().await?;
         sleep(Duration::from_secs(1)).await;
-        let old = std::fs::read(site.list_file(3))?;
+        let old_list = std::fs::read(site.agent_list_file(3))?;
         for _ in 0..4 {
-            site.change().await?;
+            site.change_list().await?;
             sleep(Duration::from_millis(300)).await;
         }
-        let agent = site.nodes[3].agent.take().ok_or(anyhow::anyhow!("no agent: void"))?;
+        let agent = site.node_machines[3].agent.take().ok_or(anyhow::anyhow!("no agent: void"))?;
         agent.kill().await?;
-        std::fs::write(site.list_file(3), old)?;
-        // The registry is out of its reach at first: all it has is old.
-        site.nodes[3].links.iter().for_each(|link| link.set(Mode::Cut));
-        let mut machine = site.nodes.remove(3);
+        std::fs::write(site.agent_list_file(3), old_list)?;
+        // Without the registry, the old list is all that the agent has.
+        site.node_machines[3].registry_links.iter().for_each(|link| link.set_mode(Mode::Cut));
+        let mut machine = site.node_machines.remove(3);
         site.start_agent("n3", &mut machine).await?;
-        site.nodes.insert(3, machine);
+        site.node_machines.insert(3, machine);
         sleep(Duration::from_secs(1)).await;
-        site.nodes[3].links.iter().for_each(|link| link.set(Mode::Pass));
-        let last = site.change().await?;
-        site.wait("its node acts on the last change", async |site| {
-            Ok(node(&site.audit().await?, "n3")["standing"].as_u64() >= Some(last))
+        site.node_machines[3].registry_links.iter().for_each(|link| link.set_mode(Mode::Forward));
+        let last = site.change_list().await?;
+        site.wait_until("n3 acts on the last change", async |site| {
+            Ok(node(&site.fetch_audit().await?, "n3")["standing"].as_u64() >= Some(last))
         })
         .await?;
-        check(&site, &["n3"]).await
+        check_guarantees(&site, &["n3"]).await
     });
 }
 
-// Slow by more than its grace for ever: no step helps, and it is shut out.
+// A node gets each list later than the grace time, permanently: no escalation step helps, and it is shut out.
 #[test]
-fn a_node_that_is_slow_for_ever_is_shut_out() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        site.nodes[6].discovery.set(Mode::Delay(4_000));
-        change_until(&mut site, "it is shut out", async |site| is(site, "n6", "admission", "out").await)
-            .await?;
-        check(&site, &["n6"]).await
+fn a_node_that_is_always_late_is_shut_out() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        site.node_machines[6].agent_link.set_mode(Mode::DelayMs(4_000));
+        change_list_until(&mut site, "n6 is shut out", async |site| {
+            node_has(site, "n6", "admission", "out").await
+        })
+        .await?;
+        check_guarantees(&site, &["n6"]).await
     });
 }
 
-// A node that hears nothing of a drain goes on sending: the audit names each request, and no other.
+// A node does not hear of a server's drain and keeps sending to it. The audit lists each of these requests, and no
+// other.
 #[test]
-fn requests_after_a_drain_are_named_exactly() {
-    play(|| async {
-        let site = Site::start(Plan::default(), seed()).await?;
-        // Its watch never speaks again, whatever it does.
-        site.nodes[5].discovery.set(Mode::SilentBack);
+fn requests_after_a_drain_are_listed_exactly() {
+    run_test(|| async {
+        let site = Site::start(SiteConfig::default(), seed()).await?;
+        // No watch that n5 opens on its agent receives anything.
+        site.node_machines[5].agent_link.set_mode(Mode::SilentFromTarget);
         let drain =
             serde_json::from_value(serde_json::json!({"set_phase": {"id": "s-2", "phase": "terminating"}}))?;
-        site.client.propose(&client::Client::generate_request_id(), drain, rig::site::PATIENCE).await?;
+        site.client.propose(&client::Client::generate_request_id(), drain, WAIT_TIMEOUT).await?;
         site.servers[2].set_draining(true);
         sleep(Duration::from_secs(4)).await;
-        site.front.load_off();
-        let due: std::collections::BTreeSet<String> = site
+        site.load_generator.stop();
+        let expected: std::collections::BTreeSet<String> = site
             .events
             .read()?
             .iter()
             .filter(|event| event["kind"] == "attempt" && event["draining"] == true)
             .filter_map(|event| event["request"].as_str().map(str::to_owned))
             .collect();
-        anyhow::ensure!(!due.is_empty(), "nothing was sent after the drain: void");
-        site.wait("the audit names what the event file has", async |site| {
-            let answer = site.client.get("/v1/audit/after-drain/s-2").await?;
-            let named = answer["requests"].as_array().into_iter().flatten();
-            let named: std::collections::BTreeSet<String> =
-                named.filter_map(|after| after["request"].as_str().map(str::to_owned)).collect();
-            anyhow::ensure!(named == due, "named {named:?}, due {due:?}");
-            Ok(answer["requests"].as_array().into_iter().flatten().any(|after| after["node"] == "n5"))
+        anyhow::ensure!(!expected.is_empty(), "no request was sent after the drain: void");
+        site.wait_until("the audit lists the requests of the event file", async |site| {
+            let response = site.client.get("/v1/audit/after-drain/s-2").await?;
+            let requests = response["requests"].as_array().into_iter().flatten();
+            let listed: std::collections::BTreeSet<String> =
+                requests.filter_map(|request| request["request"].as_str().map(str::to_owned)).collect();
+            anyhow::ensure!(listed == expected, "listed {listed:?}, expected {expected:?}");
+            let mut requests = response["requests"].as_array().into_iter().flatten();
+            Ok(requests.any(|request| request["node"] == "n5"))
         })
         .await?;
-        check(&site, &["n5"]).await
+        check_guarantees(&site, &["n5"]).await
     });
 }
 
-// Behind again and again, and caught up in between: each time it begins one step higher, until it is out.
+// A node falls behind and catches up again and again. Each time it starts one escalation step higher, until it is
+// shut out.
 #[test]
-fn a_flapping_node_climbs_until_it_is_out() {
-    play(|| async {
-        let mut site = Site::start(Plan::default(), seed()).await?;
-        let mut out = false;
+fn a_flapping_node_escalates_until_it_is_shut_out() {
+    run_test(|| async {
+        let mut site = Site::start(SiteConfig::default(), seed()).await?;
+        let mut was_shut_out = false;
         for _ in 0..8 {
-            site.nodes[8].discovery.set(Mode::Delay(5_000));
-            change_until(&mut site, "it is behind", async |site| Ok(!is(site, "n8", "step", "fine").await?))
-                .await?;
+            site.node_machines[8].agent_link.set_mode(Mode::DelayMs(5_000));
+            change_list_until(&mut site, "n8 is behind", async |site| {
+                Ok(!node_has(site, "n8", "step", "fine").await?)
+            })
+            .await?;
             for _ in 0..5 {
-                site.change().await?;
+                site.change_list().await?;
                 sleep(Duration::from_millis(500)).await;
             }
-            site.nodes[8].discovery.set(Mode::Cut);
+            site.node_machines[8].agent_link.set_mode(Mode::Cut);
             sleep(Duration::from_millis(50)).await;
-            site.nodes[8].discovery.set(Mode::Pass);
-            change_until(&mut site, "it has caught up", async |site| is(site, "n8", "step", "fine").await)
-                .await?;
-            // The step that it reached, not where it stands now: it may be back in part by the time of a look, and one
-            // that believes to be out gets no request that could show it behind once more.
-            if is(&site, "n8", "reached", "out").await? {
-                out = true;
+            site.node_machines[8].agent_link.set_mode(Mode::Forward);
+            change_list_until(&mut site, "n8 has caught up", async |site| {
+                node_has(site, "n8", "step", "fine").await
+            })
+            .await?;
+            // The highest step is read, not the present one: the node may be back on probation by now. And a node that
+            // takes itself for shut out gets no request that could show it behind again.
+            if node_has(&site, "n8", "reached", "out").await? {
+                was_shut_out = true;
                 break;
             }
         }
-        anyhow::ensure!(out, "it flaps for ever");
-        check(&site, &["n8"]).await
+        anyhow::ensure!(was_shut_out, "n8 is never shut out");
+        check_guarantees(&site, &["n8"]).await
     });
 }
