--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -480,8 +480,7 @@
     ///
     /// Fails if no replica responds.
     pub async fn fetch_history(&self) -> anyhow::Result<Vec<Value>> {
-        let response = self.client.get("/v1/audit/history?most=10000").await?;
-        response["lines"].as_array().cloned().context("the response has no history entries")
+        fetch_history(&self.client).await
     }
 
     /// Waits until a condition holds. Returns how long that took.
@@ -525,6 +524,16 @@
     }
 }
 
+/// Returns the entries of the audit's history, from a replica that the client reaches.
+///
+/// # Errors
+///
+/// Fails if no replica responds.
+pub async fn fetch_history(client: &Client) -> anyhow::Result<Vec<Value>> {
+    let response = client.get("/v1/audit/history?most=10000").await?;
+    response["lines"].as_array().cloned().context("the response has no history entries")
+}
+
 /// Formats a JSON object as TOML, with nested objects as inline tables. Other values are written alike in both
 /// languages.
 fn to_toml(config: &Value) -> String {
--- a/crates/rig/tests/audit/main.rs
+++ b/crates/rig/tests/audit/main.rs
@@ -3,11 +3,14 @@
 
 mod scenarios;
 
+use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
 
+use anyhow::{ensure, Context};
+use client::Client;
 use rig::checker::{count_attempts, find_violations, RunRecord};
-use rig::site::Site;
+use rig::site::{fetch_history, Site};
 use serde_json::Value;
 
 /// Held while a site runs. Each site has some fifty processes, so only one runs at a time.
@@ -30,14 +33,10 @@
 
 /// Checks what happened against the guarantees.
 async fn check_guarantees(site: &Site, faulty_nodes: &[&str]) -> anyhow::Result<()> {
-    let (events, history) = (site.events.read()?, site.fetch_history().await?);
-    let response = site.client.get("/v1/audit/revisions").await?;
-    let committed: BTreeSet<u64> = response["revisions"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .filter_map(|propagation| propagation["revision"].as_u64())
-        .collect();
+    let events = site.events.read()?;
+    let newest = events.iter().filter_map(|event| event["revision"].as_u64()).max().unwrap_or(0);
+    let leader = wait_for_leader_with_revision(site, newest).await?;
+    let (history, committed) = (fetch_history(&leader).await?, fetch_committed(&leader).await?);
     let faulty_nodes: BTreeSet<String> = faulty_nodes.iter().map(|name| (*name).to_owned()).collect();
     let max_shut_out = (site.config.nodes as f64 * MAX_UNAVAILABLE_PART).floor().max(1.0) as usize;
     let violations = find_violations(&RunRecord {
@@ -47,7 +46,7 @@
         faulty_nodes: &faulty_nodes,
         max_shut_out,
     });
-    anyhow::ensure!(
+    ensure!(
         violations.is_empty(),
         "{} violations:\n{}",
         violations.len(),
@@ -56,6 +55,29 @@
     Ok(())
 }
 
+/// Waits until the leader has applied a revision, and returns a client of the leader only. Any other replica may have
+/// been restarted a moment ago and lack the newest revisions and history entries.
+async fn wait_for_leader_with_revision(site: &Site, revision: u64) -> anyhow::Result<Client> {
+    let found = RefCell::new(None);
+    site.wait_until(&format!("the leader has revision {revision} of the event file"), async |site| {
+        let leader = site.find_leader().await.context("no replica leads")?;
+        let client = site.new_replica_client(leader)?;
+        let newest = fetch_committed(&client).await?.last().copied();
+        ensure!(newest >= Some(revision), "the newest revision of replica {leader} is {newest:?}");
+        found.replace(Some(client));
+        Ok(true)
+    })
+    .await?;
+    found.into_inner().context("no leader was found")
+}
+
+/// Returns the committed revisions by the audit of the replica that the client reaches.
+async fn fetch_committed(client: &Client) -> anyhow::Result<BTreeSet<u64>> {
+    let response = client.get("/v1/audit/revisions").await?;
+    let revisions = response["revisions"].as_array().context("the response has no revisions")?;
+    Ok(revisions.iter().filter_map(|propagation| propagation["revision"].as_u64()).collect())
+}
+
 /// Waits until the audit has observed exactly the attempts that the event file has.
 async fn wait_for_equal_counts(site: &Site) -> anyhow::Result<()> {
     site.wait_until("the audit has the event file's counts of attempts", async |site| {
@@ -68,7 +90,7 @@
             observed.push(activity.map_or(0, |activity| activity["seen"].as_u64().unwrap_or(0)));
             expected.push(count);
         }
-        anyhow::ensure!(observed == expected, "observed {observed:?}, expected {expected:?}");
+        ensure!(observed == expected, "observed {observed:?}, expected {expected:?}");
         Ok(true)
     })
     .await?;
