--- a/crates/rig/src/capacity.rs
+++ b/crates/rig/src/capacity.rs
@@ -42,7 +42,7 @@
     /// the line as a part of the largest value.
     pub fn fit_line(&self) -> (f64, f64, f64) {
         let n = self.points.len() as f64;
-        let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / n;
+        let mean = |coordinate: fn(&(f64, f64)) -> f64| self.points.iter().map(coordinate).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
         let covariance: f64 = self.points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
         let variance: f64 = self.points.iter().map(|p| (p.0 - x).powi(2)).sum();
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns how many milliseconds the reference loop takes at present.
+/// Returns how many milliseconds the reference loop takes at present. The output calls it the floor.
 fn time_reference_loop_ms() -> f64 {
     let start = Instant::now();
     let mut sum = 0u64;
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -3,12 +3,13 @@
 //!
 //! Invariants:
 //!
-//! 1. The system chooses every port. Every link between two parties leads through a [`relay::Relay`], which can cut
-//!    it, silence it in one or both directions, delay it, or close it after a number of bytes.
+//! 1. The system chooses every port. Every link of a process under test, except those from nodes to servers, leads
+//!    through a [`relay::Relay`], which can cut it, silence it in one or both directions, delay it, or close it after
+//!    a number of bytes.
 //! 2. All events of a run are written to one file of JSON lines with timestamps of one monotonic clock
 //!    ([`events::Events`]). The checkers read that file and the registry's responses, and nothing else.
 //! 3. No process is left behind: each ends with the thread that started it, also if that thread is killed.
-//! 4. A run whose fault could not be injected ends as void, with a message that says so.
+//! 4. A run whose fault could not be injected fails as inconclusive, with a message that says so.
 
 pub mod binaries;
 pub mod capacity;
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -25,7 +25,7 @@
 const RESTART_LEADER_AFTER: Duration = Duration::from_secs(8);
 /// Time between two changes of the list.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(700);
-/// Index of the straggler: a node that takes each list and acts on none.
+/// Index of the straggler: a node that ignores every list after its first.
 const STUCK_NODE: usize = 4;
 
 fn main() -> ExitCode {
@@ -126,13 +126,15 @@
     let mut site = Site::start(config, seed).await?;
     let mut printer = DemoPrinter { next_entry: 1, start };
     printer.print("all processes are ready; the load generator sends 150 requests per second");
-    let name = format!("n{STUCK_NODE}");
+    let straggler = format!("n{STUCK_NODE}");
     let fetch_admission = async |site: &Site| {
         let audit = site.fetch_audit().await.unwrap_or_default();
-        audit["nodes"][&name]["admission"].as_str().unwrap_or_default().to_owned()
+        audit["nodes"][&straggler]["admission"].as_str().unwrap_or_default().to_owned()
     };
     let revision = site.change_list().await?;
-    printer.print(&format!("the list changes: revision {revision}; {name} takes it and does not act on it"));
+    printer.print(&format!(
+        "the list changes: revision {revision}; {straggler} takes it and does not act on it"
+    ));
     sleep(Duration::from_secs(1)).await;
     if let Ok(response) = site.client.get(&format!("/v1/audit/revisions/{revision}")).await {
         let (propagation, acted) = (&response["spread"], response["acted"].as_array().map_or(0, Vec::len));
@@ -141,7 +143,7 @@
             propagation["nodes"], propagation["half_ms"], propagation["waits"]
         ));
     }
-    let leader = site.find_leader().await.context("no leader to kill: void")?;
+    let leader = site.find_leader().await.context("inconclusive: no leader to kill")?;
     site.kill_replica(leader).await?;
     printer.print(&format!("the leader, replica {leader}, is killed"));
     let mut is_repaired = false;
@@ -161,7 +163,7 @@
         let admission = fetch_admission(&site).await;
         if !is_repaired && admission == "out" {
             site.repair_node(STUCK_NODE).await?;
-            printer.print(&format!("{name} is restarted without its fault"));
+            printer.print(&format!("{straggler} is restarted without its fault"));
             is_repaired = true;
         } else if is_repaired && admission == "full" {
             is_readmitted = true;
@@ -176,10 +178,10 @@
     printer.print(&format!("{served} of {sent} requests were served"));
     ensure!(
         is_readmitted,
-        "{name} was not shut out and fully readmitted within {DEMO_TIMEOUT:?}\n{}",
+        "{straggler} was not shut out and fully readmitted within {DEMO_TIMEOUT:?}\n{}",
         site.logs()
     );
-    let violations = check_guarantees(&site, &name).await?;
+    let violations = check_guarantees(&site, &straggler).await?;
     violations.iter().for_each(|violation| println!("VIOLATION {violation}"));
     ensure!(violations.is_empty(), "guarantees were violated {} times", violations.len());
     println!("checkers: all guarantees kept");
--- a/crates/rig/src/relay.rs
+++ b/crates/rig/src/relay.rs
@@ -16,6 +16,9 @@
 const BUFFER_BYTES: usize = 16 * 1024;
 
 /// What a relay does with connections and their bytes.
+///
+/// Once a relay has discarded bytes of a connection, it forwards no more in that direction of it, whatever the mode is
+/// then. [`Mode::Cut`] closes such connections, so that the parties open new ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
     /// Forwards all bytes.
--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -1,5 +1,5 @@
-//! A site: a whole deployment on loopback, of replicas, agents, nodes, fake servers and a load generator, with a relay
-//! on every link.
+//! A site: a whole deployment on loopback, of replicas, agents, nodes, fake servers and a load generator. There is a
+//! relay on every link except those from nodes to servers.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -37,7 +37,9 @@
     pub servers: usize,
     /// Requests per second of the load generator.
     pub requests_per_s: f64,
-    /// Faults of nodes, by the node's index: `stuck`, `liar` or `crash`.
+    /// Faults of nodes, by the node's index. A `stuck` node ignores every list after its first, a `liar` does so
+    /// and reports that it acts on the newest, and a `crash` node exits soon after the change of
+    /// [`Site::change_list_to_crash_nodes`].
     pub node_faults: BTreeMap<usize, &'static str>,
     /// Whether stragglers go beyond the first escalation step.
     pub is_escalation_enabled: bool,
@@ -416,7 +418,7 @@
         self.put_changed_server(&id).await
     }
 
-    /// Commits a change of the list on which nodes with the fault `crash` exit. Returns its revision.
+    /// Commits a change of the list after which nodes with the fault `crash` exit. Returns its revision.
     ///
     /// # Errors
     ///
@@ -425,6 +427,7 @@
         self.put_changed_server("x-bad").await
     }
 
+    /// Registers a server that is being drained, with another size than at the call before.
     async fn put_changed_server(&mut self, id: &str) -> anyhow::Result<u64> {
         self.list_changes += 1;
         let index = self.list_changes as usize % self.config.servers;
--- a/crates/rig/tests/audit/scenarios.rs
+++ b/crates/rig/tests/audit/scenarios.rs
@@ -35,8 +35,8 @@
     Ok(node(&site.fetch_audit().await?, name)[field] == value)
 }
 
-// Without faults each change reaches all nodes, no node is shut out, and the audit's counts are those of the event
-// file.
+// Without faults each change reaches all nodes, the audit makes no verdict, and its counts of attempts are those of
+// the event file.
 #[test]
 fn a_healthy_fleet_is_counted_exactly_and_no_verdict_is_made() {
     run_test(|| async {
@@ -59,8 +59,8 @@
     });
 }
 
-// One node takes lists and does not act on them, another only reports that it does. Both are detected and shut out,
-// and are readmitted once they are repaired.
+// One node ignores every list after its first, another does so and reports that it acts on the newest. Both are
+// detected and shut out, and are readmitted once they are repaired.
 #[test]
 fn a_stuck_and_a_misreporting_node_are_shut_out_and_readmitted_once_repaired() {
     run_test(|| async {
@@ -120,7 +120,8 @@
         let mut site = Site::start(config, seed()).await?;
         for (step, field) in [("told_again", "step"), ("rewatched", "step"), ("out", "admission")] {
             change_list_until(&mut site, step, async |site| node_has(site, "n4", field, step).await).await?;
-            let leader = site.find_leader().await.ok_or(anyhow::anyhow!("no leader to kill: void"))?;
+            let leader =
+                site.find_leader().await.ok_or(anyhow::anyhow!("inconclusive: no leader to kill"))?;
             site.kill_replica(leader).await?;
             if step == "rewatched" {
                 for other in (0..3).filter(|&other| other != leader) {
@@ -238,7 +239,7 @@
 fn a_replica_that_lags_leaves_no_node_behind() {
     run_test(|| async {
         let mut site = Site::start(SiteConfig::default(), seed()).await?;
-        let leader = site.find_leader().await.ok_or(anyhow::anyhow!("no leader: void"))?;
+        let leader = site.find_leader().await.ok_or(anyhow::anyhow!("inconclusive: no leader"))?;
         let lagging = (leader + 1) % 3;
         let set_links_to_lagging = |site: &Site, mode| {
             let links = site.raft_links.iter().filter(|((_, to), _)| *to == lagging);
@@ -319,7 +320,8 @@
             site.change_list().await?;
             sleep(Duration::from_millis(300)).await;
         }
-        let agent = site.node_machines[3].agent.take().ok_or(anyhow::anyhow!("no agent: void"))?;
+        let agent =
+            site.node_machines[3].agent.take().ok_or(anyhow::anyhow!("inconclusive: no agent to kill"))?;
         agent.kill().await?;
         std::fs::write(site.agent_list_file(3), old_list)?;
         // Without the registry, the old list is all that the agent has.
@@ -373,7 +375,7 @@
             .filter(|event| event["kind"] == "attempt" && event["draining"] == true)
             .filter_map(|event| event["request"].as_str().map(str::to_owned))
             .collect();
-        anyhow::ensure!(!expected.is_empty(), "no request was sent after the drain: void");
+        anyhow::ensure!(!expected.is_empty(), "inconclusive: no request was sent after the drain");
         site.wait_until("the audit lists the requests of the event file", async |site| {
             let response = site.client.get("/v1/audit/after-drain/s-2").await?;
             let requests = response["requests"].as_array().into_iter().flatten();
