--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -155,8 +155,7 @@
     maintenance_runs: u64,
 }
 
-/// The balancer's clock: Unix time at the start of the process, advanced by the monotonic clock. The start
-/// times of servers, which are Unix times, need no conversion.
+/// The balancer's clock: Unix time at process start, then monotonic. Servers' Unix start times fit unconverted.
 struct Clock {
     start: Instant,
     unix_start: Micros,
@@ -407,8 +406,7 @@
         self.events.push_back(Event::Sync { kind, members });
     }
 
-    /// Sets the revision that decisions are based on from now on. A received list is applied completely before
-    /// the next decision.
+    /// Sets the revision of decisions from now on. A received list is applied whole before the next decision.
     fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
         if let Some(reporter) = &self.reporter {
@@ -437,8 +435,7 @@
         ignores
     }
 
-    /// Passes all pending events to the balancer and executes its actions, including those that follow from
-    /// events that an action causes.
+    /// Passes all pending events to the balancer and executes its actions, also for events that these cause.
     fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
