--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -155,7 +155,7 @@
     maintenance_runs: u64,
 }
 
-/// The balancer's clock: Unix time at process start, then monotonic. Servers' Unix start times fit unconverted.
+/// The balancer's clock: Unix time at process start, then monotonic. Servers' Unix times need no conversion.
 struct Clock {
     start: Instant,
     unix_start: Micros,
