--- a/crates/rig/src/site.rs
+++ b/crates/rig/src/site.rs
@@ -92,7 +92,7 @@
     pub replicas: Vec<Option<Process>>,
     /// The machines of the nodes, by the node's index.
     pub node_machines: Vec<Machine>,
-    /// The nodes, by index.
+    /// The nodes, by index; `None` until one is started. A node that exited by itself stays until it is restarted.
     pub nodes: Vec<Option<Process>>,
     /// The machines of the servers, by the server's index.
     pub server_machines: Vec<Machine>,
--- a/crates/rig/tests/audit/main.rs
+++ b/crates/rig/tests/audit/main.rs
@@ -15,7 +15,7 @@
 
 /// Held while a site runs. Each site has some fifty processes, so only one runs at a time.
 static SITE_LOCK: Mutex<()> = Mutex::new(());
-/// Largest part of a pool or zone that the site's audit may shut out at once.
+/// Largest part of a pool or zone that the audit may shut out at once: `most_out` of [`rig::site::audit_config`].
 const MAX_UNAVAILABLE_PART: f64 = 0.17;
 /// Number of violations that a failed check prints.
 const MAX_PRINTED_VIOLATIONS: usize = 8;
--- a/crates/rig/tests/audit/scenarios.rs
+++ b/crates/rig/tests/audit/scenarios.rs
@@ -77,8 +77,7 @@
                 || node_has(site, "n5", "admission", "out").await?)
         })
         .await?;
-        let first = if node_has(&site, "n2", "admission", "out").await? { 2 } else { 5 };
-        let (first, second) = (first, 7 - first);
+        let (first, second) = if node_has(&site, "n2", "admission", "out").await? { (2, 5) } else { (5, 2) };
         let second_name = format!("n{second}");
         change_list_until(&mut site, "the limit defers that the other node is shut out", async |site| {
             let history = site.fetch_history().await?;
@@ -129,6 +128,7 @@
                 }
                 let (_, served_before) = site.load_generator.request_counts();
                 sleep(Duration::from_secs(1)).await;
+                // A third of the requests that are sent in this second.
                 anyhow::ensure!(
                     site.load_generator.request_counts().1 > served_before + 50,
                     "the nodes do not serve on without the registry"
