--- a/benches/core.rs
+++ b/benches/core.rs
@@ -1,8 +1,9 @@
-//! What the decisions cost: a request with its outcome, a change of the list with the rebuild of the table,
-//! and a sweep, for fleets of several sizes; each against a floor measured in the same run.
+//! Benchmarks of the policy: a request with its outcome, a change of the list with the rebuild of the table,
+//! and a sweep, for fleets of several sizes. Each is compared with a floor, the least work that any
+//! implementation needs for the operation, which is measured in the same run.
 //!
-//! `cargo bench --bench core` prints criterion's figures and at the end the ratios. An argument runs only the
-//! benchmarks whose name it is a part of (the floors as well, if it is to print ratios).
+//! `cargo bench --bench core` prints criterion's figures, then the ratios to the floors. An argument selects
+//! the benchmarks whose name contains it; for ratios it must select the floors as well.
 
 use std::hint::black_box;
 use std::path::{Path, PathBuf};
@@ -10,38 +11,47 @@
 
 use criterion::{BenchmarkId, Criterion};
 use serde_json::Value;
-use woodgap::brain::TABLE_SLOTS;
+use woodgap::policy::TABLE_SLOTS;
 use woodgap::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-const SERVERS: [u32; 4] = [12, 60, 200, 1_000];
-const NODES: [u32; 3] = [2, 100, 300];
+const SERVER_COUNTS: [u32; 4] = [12, 60, 200, 1_000];
+const NODE_COUNTS: [u32; 3] = [2, 100, 300];
 /// Requests between two sweeps.
-const BETWEEN: u64 = 100;
+const REQUESTS_PER_SWEEP: u64 = 100;
 /// Distinct keys: as many as a site of the largest size has.
-const KEYS: u64 = 5_700;
+const KEY_COUNT: u64 = 5_700;
+/// Multipliers that turn successive numbers into pseudo-random server ids and keys.
+const SERVER_ID_MULTIPLIER: u32 = 2_654_435_761;
+const KEY_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Interval and timer of the policy's sweep.
+const SWEEP_PERIOD_US: Micros = 100_000;
+const TIMER_SWEEP: TimerId = TimerId(1);
 
-/// A node that has seen some traffic.
+/// A node, its simulated clock, and the actions that the last event led to.
 struct Node {
     balancer: Balancer,
     now: Micros,
-    next: u64,
-    out: Vec<Action>,
+    requests: u64,
+    actions: Vec<Action>,
+    /// Number of servers on the list.
     servers: u32,
 }
 
+/// An entry of the server list.
 fn member(n: u32, state: ServerState) -> Member {
     Member {
-        server: ServerId(n.wrapping_mul(2_654_435_761)),
+        server: ServerId(n.wrapping_mul(SERVER_ID_MULTIPLIER)),
         zone: ZoneId(n % 2),
         cell: CellId(u64::from(n / 8)),
         state,
         size: [1.0, 1.5, 0.6][n as usize % 3],
-        since: 0,
+        started_at: 0,
     }
 }
 
 impl Node {
+    /// Creates a node of a group of `nodes` that has served some requests.
     fn new(servers: u32, nodes: u32) -> Node {
         let class = |aim, semantics| Class {
             aim,
@@ -49,7 +59,7 @@
             points: 1.0,
             late_share: 0.0,
             semantics,
-            in_order: false,
+            is_serial_by_key: false,
         };
         let settings = Settings {
             group_size: nodes,
@@ -61,102 +71,104 @@
             ],
             weight_source: WeightSource::Nominal,
             worth_by: WorthBy::Work,
-            warm_keys: true,
-            cancelling: true,
+            servers_cache_keys: true,
+            can_cancel: true,
             max_attempts: 4,
-            retry_after: true,
+            sends_retry_after: true,
             start_capacity: 0.3,
             ramp_time: 9_000_000,
-            fall_multiple: 3.0,
+            cold_overload_multiple: 3.0,
             ..Settings::default()
         };
         let balancer = Balancer::new(settings, 1);
-        let mut node = Node { balancer, now: 1_000_000, next: 0, out: Vec::new(), servers };
+        let mut node = Node { balancer, now: 1_000_000, requests: 0, actions: Vec::new(), servers };
         let members = (0..servers).map(|n| member(n, ServerState::InService)).collect();
-        node.event(Event::Sync { kind: SyncKind::Cached, members });
-        for _ in 0..20 * BETWEEN {
-            node.request();
+        node.feed(Event::Sync { kind: SyncKind::Cached, members });
+        for _ in 0..20 * REQUESTS_PER_SWEEP {
+            node.serve_request();
         }
-        node.sweep();
+        node.run_sweep();
         node
     }
 
-    fn event(&mut self, event: Event) {
-        self.out.clear();
-        self.balancer.on_event(self.now, event, &mut self.out);
+    fn feed(&mut self, event: Event) {
+        self.actions.clear();
+        self.balancer.on_event(self.now, event, &mut self.actions);
     }
 
-    /// A request and its outcome. Keys: half of the requests share a twentieth of them.
-    fn request(&mut self) {
-        self.next += 1;
+    /// Feeds a request and its outcome. Half of the requests share a twentieth of the keys.
+    fn serve_request(&mut self) {
+        self.requests += 1;
         self.now += 1_000;
         let mut bytes = [b'0'; 36];
-        bytes[..8].copy_from_slice(&self.next.to_le_bytes());
+        bytes[..8].copy_from_slice(&self.requests.to_le_bytes());
         let id = RequestId(bytes);
-        let drawn = self.next.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
-        let key = drawn % if self.next.is_multiple_of(2) { KEYS / 20 } else { KEYS };
-        self.event(Event::Request(Request {
+        let random = self.requests.wrapping_mul(KEY_MULTIPLIER) >> 32;
+        let key = random % if self.requests.is_multiple_of(2) { KEY_COUNT / 20 } else { KEY_COUNT };
+        self.feed(Event::Request(Request {
             id,
-            patience: 1_000_000,
-            class: ClassId((self.next % 4) as usize),
+            time_left: 1_000_000,
+            class: ClassId((self.requests % 4) as usize),
             cost: None,
-            repeat: false,
+            is_client_retry: false,
             tenant: None,
             key: Some(Key(key)),
         }));
-        let Some(&Action::Send { server, .. }) = self.out.first() else {
-            panic!("a calm node sends each request: {:?}", self.out);
+        let Some(&Action::Send { server, .. }) = self.actions.first() else {
+            panic!("a node without load sends each request: {:?}", self.actions);
         };
-        let closed = Closed {
+        let end = AttemptEnd {
             id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            spent: 40_000,
-            done: true,
-            load: Vec::new(),
+            elapsed: 40_000,
+            is_request_done: true,
+            load_report: Vec::new(),
         };
-        self.event(Event::Closed(closed));
+        self.feed(Event::AttemptEnded(end));
     }
 
-    fn sweep(&mut self) {
-        self.now += 100_000;
-        self.event(Event::Timer(TimerId(1)));
+    fn run_sweep(&mut self) {
+        self.now += SWEEP_PERIOD_US;
+        self.feed(Event::TimerExpired(TIMER_SWEEP));
     }
 
-    /// One server drains or comes back; the request is the first to need the new table.
-    fn rebuild(&mut self) {
+    /// Takes a server out of service or back; the request that follows is the first to need the new table.
+    fn rebuild_table(&mut self) {
         let states = [ServerState::InService, ServerState::Terminating];
-        let state = states[(self.next % 2) as usize];
+        let state = states[(self.requests % 2) as usize];
         let members = vec![member(self.servers / 2, state)];
-        self.event(Event::Sync { kind: SyncKind::Delta, members });
-        self.request();
+        self.feed(Event::Sync { kind: SyncKind::Delta, members });
+        self.serve_request();
     }
 }
 
-/// The time of `times` runs of `work`, with a sweep that does not count between some of them.
-fn timed(node: &mut Node, times: u64, mut work: impl FnMut(&mut Node)) -> Duration {
-    let (mut spent, mut left) = (Duration::ZERO, times);
+/// Returns the time of a number of runs of an operation, without the sweeps between them.
+fn time_runs(node: &mut Node, runs: u64, mut operation: impl FnMut(&mut Node)) -> Duration {
+    let (mut elapsed, mut left) = (Duration::ZERO, runs);
     while left > 0 {
-        let now = left.min(BETWEEN);
+        let batch = left.min(REQUESTS_PER_SWEEP);
         let start = Instant::now();
-        for _ in 0..now {
-            work(node);
+        for _ in 0..batch {
+            operation(node);
         }
-        spent += start.elapsed();
-        node.sweep();
-        left -= now;
+        elapsed += start.elapsed();
+        node.run_sweep();
+        left -= batch;
     }
-    spent
+    elapsed
 }
 
-fn floors(criterion: &mut Criterion) {
+/// Measures the floors: a hash and a lookup for a request, a write per slot for a rebuild, and a read per
+/// server for a sweep.
+fn bench_floors(criterion: &mut Criterion) {
     let table: Vec<u32> = (0..TABLE_SLOTS as u32).collect();
     let mut group = criterion.benchmark_group("floor");
     group.bench_function("request", |b| {
         let mut key = 0u64;
         b.iter(|| {
-            key = key.wrapping_add(0x9E37_79B9_7F4A_7C15);
+            key = key.wrapping_add(KEY_MULTIPLIER);
             let hash = xxh3_64_with_seed(&black_box(key).to_le_bytes(), 1);
             black_box(table[(hash % TABLE_SLOTS as u64) as usize])
         });
@@ -170,7 +182,7 @@
             table
         });
     });
-    for servers in SERVERS {
+    for servers in SERVER_COUNTS {
         let numbers: Vec<f64> = (0..servers).map(f64::from).collect();
         group.bench_function(BenchmarkId::new("sweep", servers), |b| {
             b.iter(|| black_box(&numbers).iter().fold(0.0, |sum, number| sum + black_box(*number)));
@@ -179,17 +191,17 @@
     group.finish();
 }
 
-fn decisions(criterion: &mut Criterion) {
-    type Work = fn(&mut Node);
-    let works: [(&str, Work); 3] =
-        [("request", Node::request), ("rebuild", Node::rebuild), ("sweep", Node::sweep)];
-    for (name, work) in works {
+fn bench_policy(criterion: &mut Criterion) {
+    type Operation = fn(&mut Node);
+    let operations: [(&str, Operation); 3] =
+        [("request", Node::serve_request), ("rebuild", Node::rebuild_table), ("sweep", Node::run_sweep)];
+    for (name, operation) in operations {
         let mut group = criterion.benchmark_group(name);
-        for servers in SERVERS {
-            for nodes in NODES {
+        for servers in SERVER_COUNTS {
+            for nodes in NODE_COUNTS {
                 let mut node = Node::new(servers, nodes);
                 group.bench_function(BenchmarkId::new(servers.to_string(), nodes), |b| {
-                    b.iter_custom(|times| timed(&mut node, times, work));
+                    b.iter_custom(|runs| time_runs(&mut node, runs, operation));
                 });
             }
         }
@@ -197,8 +209,8 @@
     }
 }
 
-/// The median that criterion wrote down, in nanoseconds.
-fn median(results: &Path, name: &str) -> Option<f64> {
+/// Reads the median that criterion wrote, in nanoseconds.
+fn read_median_ns(results: &Path, name: &str) -> Option<f64> {
     let text = std::fs::read_to_string(results.join(name).join("new/estimates.json")).ok()?;
     serde_json::from_str::<Value>(&text).ok()?["median"]["point_estimate"].as_f64()
 }
@@ -208,14 +220,20 @@
         "\n{:8} {:>7} {:>5}  {:>12}  {:>12}  {:>9}",
         "what", "servers", "nodes", "median ns", "floor ns", "ratio"
     );
-    for what in ["request", "rebuild", "sweep"] {
-        for servers in SERVERS {
-            for nodes in NODES {
-                let floor =
-                    if what == "sweep" { format!("floor/sweep/{servers}") } else { format!("floor/{what}") };
-                let measured = median(results, &format!("{what}/{servers}/{nodes}"));
-                if let (Some(ns), Some(floor)) = (measured, median(results, &floor)) {
-                    println!("{what:8} {servers:7} {nodes:5}  {ns:12.0}  {floor:12.1}  {:9.1}", ns / floor);
+    for operation in ["request", "rebuild", "sweep"] {
+        for servers in SERVER_COUNTS {
+            for nodes in NODE_COUNTS {
+                let floor = if operation == "sweep" {
+                    format!("floor/sweep/{servers}")
+                } else {
+                    format!("floor/{operation}")
+                };
+                let measured = read_median_ns(results, &format!("{operation}/{servers}/{nodes}"));
+                if let (Some(ns), Some(floor)) = (measured, read_median_ns(results, &floor)) {
+                    println!(
+                        "{operation:8} {servers:7} {nodes:5}  {ns:12.0}  {floor:12.1}  {:9.1}",
+                        ns / floor
+                    );
                 }
             }
         }
@@ -223,7 +241,7 @@
 }
 
 fn main() {
-    // Where nothing older lies: what is not run now is not printed.
+    // A new directory, so that the ratios leave out older results of benchmarks that do not run now.
     let results = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("core-{}", std::process::id()));
     let mut criterion = Criterion::default()
         .sample_size(20)
@@ -232,8 +250,8 @@
         .without_plots()
         .output_directory(&results)
         .configure_from_args();
-    floors(&mut criterion);
-    decisions(&mut criterion);
+    bench_floors(&mut criterion);
+    bench_policy(&mut criterion);
     print_ratios(&results);
     criterion.final_summary();
     let _ = std::fs::remove_dir_all(&results);
--- /dev/null
+++ b/src/bin/woodgap/client_connection.rs
@@ -0,0 +1,336 @@
+//! The state of one client connection: which phase it is in, since when, and whether the client is still
+//! connected.
+//!
+//! A client's close or reset is noticed even if the client sent further bytes before it. hyper checks for a
+//! close only while its own buffer is empty. So once a request is complete, the connection keeps reading by
+//! itself, holds what arrives for hyper in a bounded read-ahead buffer, and discards what exceeds that
+//! buffer; a connection that exceeded it is closed after the current response. A client that shuts down only
+//! its sending side can't be told from one that closed the connection, and counts as disconnected: by the
+//! client protocol, a client that closes its connection has gone away.
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::mem::MaybeUninit;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+
+use bytes::{Buf, BytesMut};
+use framing::Framing;
+use socket2::SockRef;
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::{timeout, Instant};
+
+use crate::stream;
+
+mod framing;
+
+/// Longest time in which a request must arrive completely, from the connect for the first request and from
+/// its first byte for a later one. Clients that send nothing or very slowly hold a socket that other clients
+/// need.
+pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest idle time between two requests.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(60);
+/// When client sockets are short, a connection that was idle between two requests for this long may be closed.
+const EVICTABLE_IDLE: Duration = Duration::from_secs(2);
+/// When client sockets are short, a connection that was open for this long without a first request may be
+/// closed.
+const EVICTABLE_UNUSED: Duration = Duration::from_millis(500);
+/// Most bytes that are kept of what arrives behind an open request. Clients normally send one request at a time.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Longest time for which a connection is still read after its last response. Closing a socket with unread
+/// data sends a reset, which can discard a response that is still on its way.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Most bytes that are read in that time.
+const MAX_LINGER_BYTES: usize = 1 << 20;
+/// Size of the buffers for reads that bypass hyper.
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// What a client connection is doing.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Phase {
+    /// Before the first request: its head has not arrived completely.
+    New,
+    /// The head of a later request is arriving.
+    ReadingHead,
+    /// A request's head has arrived and the request is not answered yet.
+    RequestOpen,
+    /// Between two requests.
+    Idle,
+    /// The connection is being closed.
+    Closing,
+}
+
+/// A client connection, shared by the socket that hyper uses, the request handler and the periodic check for
+/// overdue connections.
+pub struct ClientConnection {
+    stream: TcpStream,
+    phase: Cell<Phase>,
+    phase_since: Cell<Instant>,
+    /// Whether the connection closes at once instead of after the response to a request that may be open.
+    closes_at_once: Cell<bool>,
+    /// Number of requests whose head has arrived.
+    requests: Cell<u32>,
+    /// Signalled by `request_close`.
+    pub close_requested: Notify,
+    /// When the first request must have arrived completely.
+    first_request_deadline: Instant,
+    /// The open request has arrived completely: bytes that arrive now are not part of it.
+    is_request_complete: Cell<bool>,
+    request_completed: Notify,
+    /// How the open request's body is framed, where hyper does not tell.
+    framing: RefCell<Framing>,
+    /// What arrived behind the open request.
+    read_ahead: RefCell<BytesMut>,
+    /// Whether more than `MAX_READ_AHEAD_BYTES` arrived behind the open request.
+    has_read_ahead_overflowed: Cell<bool>,
+}
+
+impl ClientConnection {
+    /// The state of a connection that was just accepted; its first request must arrive within
+    /// `first_request_timeout`.
+    pub fn new(stream: TcpStream, first_request_timeout: Duration) -> Rc<Self> {
+        let now = Instant::now();
+        Rc::new(ClientConnection {
+            stream,
+            phase: Cell::new(Phase::New),
+            phase_since: Cell::new(now),
+            closes_at_once: Cell::new(false),
+            requests: Cell::new(0),
+            close_requested: Notify::new(),
+            first_request_deadline: now + first_request_timeout,
+            is_request_complete: Cell::new(false),
+            request_completed: Notify::new(),
+            framing: RefCell::new(Framing::default()),
+            read_ahead: RefCell::default(),
+            has_read_ahead_overflowed: Cell::new(false),
+        })
+    }
+
+    /// Changes the phase; a connection that is closing stays in that phase.
+    pub fn enter_phase(&self, phase: Phase) {
+        self.is_request_complete.set(false);
+        if phase == Phase::Idle {
+            self.framing.borrow_mut().finish_request();
+        }
+        if self.phase.get() != Phase::Closing {
+            self.phase.set(phase);
+            self.phase_since.set(Instant::now());
+        }
+    }
+
+    /// Notes that the open request has arrived completely.
+    pub fn mark_request_complete(&self) {
+        self.is_request_complete.set(true);
+        self.request_completed.notify_one();
+    }
+
+    /// Notes that the head of a request has arrived and returns the deadline for its body.
+    pub fn begin_request(&self) -> Instant {
+        let body_deadline = match self.phase.get() {
+            Phase::New => self.first_request_deadline,
+            Phase::ReadingHead => self.phase_since.get() + REQUEST_READ_TIMEOUT,
+            _ => Instant::now() + REQUEST_READ_TIMEOUT,
+        };
+        self.framing.borrow_mut().parse_head();
+        self.enter_phase(Phase::RequestOpen);
+        self.requests.set(self.requests.get().saturating_add(1));
+        body_deadline
+    }
+
+    /// Whether `Transfer-Encoding: chunked` is known to be the only framing in the open request's head.
+    pub fn is_chunked_only(&self) -> bool {
+        self.framing.borrow().is_chunked_only
+    }
+
+    /// Whether the open request is the connection's first.
+    pub fn is_first_request(&self) -> bool {
+        self.requests.get() == 1
+    }
+
+    /// Whether the head of no request has arrived, so that nothing was answered.
+    pub fn is_unused(&self) -> bool {
+        self.requests.get() == 0
+    }
+
+    /// Whether bytes behind the open request were discarded, so that no further request can be read.
+    pub fn has_read_ahead_overflowed(&self) -> bool {
+        self.has_read_ahead_overflowed.get()
+    }
+
+    /// Whether bytes have arrived that hyper has not read: a complete request may have arrived since the
+    /// connection's task last ran.
+    pub fn has_unread_bytes(&self) -> bool {
+        let mut byte = [MaybeUninit::uninit()];
+        !self.read_ahead.borrow().is_empty()
+            || SockRef::from(&self.stream).peek(&mut byte).is_ok_and(|count| count > 0)
+    }
+
+    /// Whether closing the connection at once loses no request that has arrived unread.
+    pub fn can_close_without_loss(&self) -> bool {
+        self.phase.get() == Phase::Closing || !self.has_unread_bytes()
+    }
+
+    /// Whether the connection is between two requests and no byte of the next one has arrived.
+    pub fn is_idle(&self) -> bool {
+        self.phase.get() == Phase::Idle && !self.has_unread_bytes()
+    }
+
+    /// Whether a request takes too long to arrive or the connection has been idle for too long.
+    pub fn is_overdue(&self) -> bool {
+        match self.phase.get() {
+            Phase::New => Instant::now() > self.first_request_deadline,
+            Phase::ReadingHead => self.phase_since.get().elapsed() > REQUEST_READ_TIMEOUT,
+            Phase::Idle => self.phase_since.get().elapsed() > KEEPALIVE_TIMEOUT,
+            Phase::RequestOpen | Phase::Closing => false,
+        }
+    }
+
+    /// How readily the connection is closed when client sockets are short: the highest score first, and none
+    /// below 1.
+    pub fn eviction_score(&self) -> f64 {
+        let evictable_after = match self.phase.get() {
+            Phase::New => EVICTABLE_UNUSED,
+            Phase::Idle => EVICTABLE_IDLE,
+            // The last request was answered; the connection only waits for the client's close.
+            Phase::Closing if !self.closes_at_once.get() => return f64::INFINITY,
+            Phase::ReadingHead | Phase::RequestOpen | Phase::Closing => return 0.0,
+        };
+        self.phase_since.get().elapsed().as_secs_f64() / evictable_after.as_secs_f64()
+    }
+
+    /// Asks the connection's task to close the connection: `at_once`, which is for connections without an
+    /// open request, or else after the response to a request that may be open.
+    pub fn request_close(&self, at_once: bool) {
+        if at_once {
+            self.phase.set(Phase::Closing);
+        }
+        self.closes_at_once.set(self.closes_at_once.get() || at_once);
+        self.close_requested.notify_one();
+    }
+
+    /// Whether the connection was asked to close at once.
+    pub fn closes_at_once(&self) -> bool {
+        self.closes_at_once.get()
+    }
+
+    /// Returns once the client of a complete, unanswered request has disconnected. Until then the connection
+    /// is read into the read-ahead buffer, because unread bytes would hide the close behind them.
+    pub async fn wait_for_disconnect(&self) {
+        loop {
+            while !self.is_request_complete.get() {
+                self.request_completed.notified().await;
+            }
+            if self.stream.readable().await.is_err() {
+                return;
+            }
+            // The request may have been answered meanwhile; bytes that arrive after that are for hyper to
+            // read.
+            if !self.is_request_complete.get() {
+                continue;
+            }
+            let mut buffer = [0; READ_BUFFER_BYTES];
+            match self.stream.try_read(&mut buffer) {
+                Ok(0) => return,
+                Ok(count) => {
+                    let mut read_ahead = self.read_ahead.borrow_mut();
+                    if self.has_read_ahead_overflowed.get() || read_ahead.len() + count > MAX_READ_AHEAD_BYTES
+                    {
+                        self.has_read_ahead_overflowed.set(true);
+                    } else {
+                        read_ahead.extend_from_slice(&buffer[..count]);
+                    }
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(_) => return,
+            }
+        }
+    }
+
+    /// Lingering close: shuts down the sending side and discards what arrives until the client closes too,
+    /// within `LINGER_TIMEOUT` and `MAX_LINGER_BYTES`. If the connection is asked to close at once, only what
+    /// has already arrived is discarded.
+    pub async fn linger(&self) {
+        let _ = SockRef::from(&self.stream).shutdown(std::net::Shutdown::Write);
+        let discard = async {
+            let (mut remaining, mut buffer) = (MAX_LINGER_BYTES, [0; READ_BUFFER_BYTES]);
+            while remaining > 0 {
+                match self.stream.try_read(&mut buffer) {
+                    Ok(0) => return,
+                    Ok(count) => remaining = remaining.saturating_sub(count),
+                    Err(error) if error.kind() != io::ErrorKind::WouldBlock => return,
+                    Err(_) if self.closes_at_once() => return,
+                    Err(_) => tokio::select! {
+                        ready = self.stream.readable() => if ready.is_err() { return },
+                        () = self.close_requested.notified() => {}
+                    },
+                }
+            }
+        };
+        let _ = timeout(LINGER_TIMEOUT, discard).await;
+    }
+}
+
+/// The connection's socket in the form that hyper reads and writes. Reads take the read-ahead buffer first,
+/// record the bytes for `Framing` and notice the first byte of a request on an idle connection.
+pub struct ClientSocket(Rc<ClientConnection>);
+
+impl ClientSocket {
+    /// The socket of a connection.
+    pub fn new(connection: Rc<ClientConnection>) -> Self {
+        ClientSocket(connection)
+    }
+}
+
+impl AsyncRead for ClientSocket {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let connection = &self.0;
+        let filled_before = buf.filled().len();
+        let mut read_ahead = connection.read_ahead.borrow_mut();
+        let count = if read_ahead.is_empty() {
+            ready!(stream::poll_read(&connection.stream, cx, buf))?
+        } else {
+            let count = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..count]);
+            read_ahead.advance(count);
+            count
+        };
+        connection.framing.borrow_mut().record_bytes(&buf.filled()[filled_before..]);
+        if count > 0 && connection.phase.get() == Phase::Idle {
+            connection.enter_phase(Phase::ReadingHead);
+        }
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncWrite for ClientSocket {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        stream::poll_write(&self.0.stream, cx, |stream| stream.try_write(data))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        stream::poll_write(&self.0.stream, cx, |stream| stream.try_write_vectored(parts))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(Ok(()))
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Poll::Ready(SockRef::from(&self.0.stream).shutdown(std::net::Shutdown::Write))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/bin/woodgap/client_connection/tests.rs
@@ -0,0 +1,140 @@
+use super::*;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+
+/// A connection and its client's socket.
+async fn connect() -> (Rc<ClientConnection>, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    (ClientConnection::new(listener.accept().await.unwrap().0, REQUEST_READ_TIMEOUT), client)
+}
+
+// An unused connection may be evicted sooner than an idle one, and one with an open request never.
+#[tokio::test]
+async fn only_connections_without_an_open_request_are_evictable() {
+    let (connection, _client) = connect().await;
+    tokio::time::pause();
+    let evictable_after_tenths = |connection: &Rc<ClientConnection>| {
+        let connection = connection.clone();
+        async move {
+            for tenths in 0..100 {
+                if connection.eviction_score() >= 1.0 {
+                    return Some(tenths);
+                }
+                tokio::time::advance(Duration::from_millis(100)).await;
+            }
+            None
+        }
+    };
+    assert_eq!(evictable_after_tenths(&connection).await, Some(5));
+    assert!(connection.is_unused());
+    connection.begin_request();
+    assert!(connection.is_first_request() && !connection.is_unused());
+    assert_eq!(evictable_after_tenths(&connection).await, None);
+    assert!(!connection.is_overdue());
+    connection.enter_phase(Phase::Idle);
+    assert_eq!(evictable_after_tenths(&connection).await, Some(20));
+    connection.enter_phase(Phase::ReadingHead);
+    tokio::time::advance(REQUEST_READ_TIMEOUT + Duration::from_millis(1)).await;
+    assert!(connection.is_overdue());
+    connection.request_close(true);
+    assert_eq!(evictable_after_tenths(&connection).await, None);
+}
+
+// A request that has arrived but is still unread, in the receive buffer or read ahead, keeps its connection
+// open.
+#[tokio::test]
+async fn a_connection_with_an_unread_request_is_not_closed() {
+    let (connection, mut client) = connect().await;
+    assert!(connection.can_close_without_loss());
+    connection.enter_phase(Phase::Idle);
+    assert!(connection.is_idle());
+    client.write_all(b"GET").await.unwrap();
+    while !connection.has_unread_bytes() {
+        tokio::task::yield_now().await;
+    }
+    assert!(!connection.can_close_without_loss() && !connection.is_idle());
+    connection.begin_request();
+    connection.mark_request_complete();
+    let bytes_are_read_ahead = async {
+        while connection.read_ahead.borrow().is_empty() {
+            tokio::task::yield_now().await;
+        }
+    };
+    tokio::select! {
+        () = connection.wait_for_disconnect() => unreachable!("the client is still connected"),
+        () = bytes_are_read_ahead => {}
+    }
+    connection.enter_phase(Phase::Idle);
+    assert!(!connection.can_close_without_loss() && !connection.is_idle());
+    connection.enter_phase(Phase::Closing);
+    assert!(connection.can_close_without_loss());
+}
+
+// A client's close is noticed however many bytes it sent before, and the read-ahead buffer stays bounded.
+#[tokio::test]
+async fn a_disconnect_is_noticed_behind_any_number_of_bytes() {
+    for (bytes, overflows) in [
+        (0, false),
+        (100, false),
+        (MAX_READ_AHEAD_BYTES, false),
+        (MAX_READ_AHEAD_BYTES + 1, true),
+        (3 << 20, true),
+    ] {
+        let (connection, mut client) = connect().await;
+        connection.begin_request();
+        connection.mark_request_complete();
+        let send_and_close = async {
+            client.write_all(&vec![b'x'; bytes]).await.unwrap();
+            drop(client);
+        };
+        tokio::join!(connection.wait_for_disconnect(), send_and_close);
+        assert!(connection.read_ahead.borrow().len() <= MAX_READ_AHEAD_BYTES);
+        assert_eq!(connection.has_read_ahead_overflowed(), overflows, "{bytes}");
+        assert!(overflows || connection.read_ahead.borrow().len() == bytes);
+    }
+}
+
+// Closing a socket with unread data sends a reset, which can discard a response that the client has not read
+// yet.
+#[tokio::test]
+async fn a_response_arrives_although_the_client_sent_more() {
+    use tokio::io::AsyncReadExt;
+    let (connection, mut client) = connect().await;
+    client.write_all(&[b'x'; 9_000]).await.unwrap();
+    connection.stream.writable().await.unwrap();
+    assert_eq!(connection.stream.try_write(b"answer").unwrap(), 6);
+    connection.enter_phase(Phase::Closing);
+    let close = async {
+        connection.linger().await;
+        drop(connection);
+    };
+    let read = async {
+        let mut response = Vec::new();
+        client.read_to_end(&mut response).await.expect("an orderly close");
+        assert_eq!(response, b"answer");
+        // Here a reset behind the close shows only as the socket's error. Over a real network it could arrive
+        // before the client has read the response, which would then be lost.
+        assert!(client.take_error().unwrap().is_none(), "the connection was reset");
+        drop(client);
+    };
+    tokio::join!(close, read);
+}
+
+// A client that never closes holds its socket only for a bounded time, and not if the socket is needed.
+#[tokio::test]
+async fn lingering_is_bounded_and_ends_on_a_close_request() {
+    let (connection, _client) = connect().await;
+    connection.enter_phase(Phase::Closing);
+    assert_eq!(connection.eviction_score(), f64::INFINITY);
+    let (lingering, closed) = (connection.clone(), connection.clone());
+    tokio::join!(async move { lingering.linger().await }, async move {
+        tokio::task::yield_now().await;
+        closed.request_close(true);
+    });
+    assert_eq!(connection.eviction_score(), 0.0);
+    let (connection, _client) = connect().await;
+    connection.enter_phase(Phase::Closing);
+    tokio::time::pause();
+    connection.linger().await;
+}
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -1,23 +1,23 @@
-//! One node of the load balancer, on real sockets: see `deploy/balancer.toml`.
+//! One node of the load balancer, on real sockets. `deploy/balancer.toml` shows how it is deployed.
 //!
-//! The node decides nothing. It turns what happens on its sockets into the module's events and
-//! carries out the module's actions.
+//! This program makes no decisions by itself. It turns what happens on its sockets into events for the balancer
+//! ([`woodgap::Balancer`]) and executes the actions that the balancer returns.
 #![forbid(unsafe_code)]
 
+mod client_connection;
 mod clients;
 mod cold;
-mod conn;
 mod counts;
 mod discovery;
 mod driver;
 mod exchange;
+mod guards;
 mod log;
 mod peers;
 mod request;
+mod revision_reporter;
 mod servers;
 mod stream;
-mod task;
-mod witness;
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -29,106 +29,117 @@
 use tracing::{info, info_span, warn};
 
 use clients::Clients;
-use driver::{Driver, Msg};
+use driver::{Driver, DriverMessage};
+use guards::SocketBudget;
 use peers::Peers;
+use revision_reporter::RevisionReporter;
 use servers::Servers;
-use task::Budget;
-use witness::Witness;
-use woodgap::config::{self, Config, OVERFLOW, OWN_DESCRIPTORS};
+use woodgap::config::{self, Config, REJECTION_CONNECTIONS, RESERVED_DESCRIPTORS};
 
-/// Clients' part of the sockets: requests in flight need as many to servers, and clients keep idle
-/// connections too.
-const CLIENTS: f64 = 0.6;
-/// A request held may have a whole body and a whole answer in memory; half of it is for them.
-const HELD_BYTES: usize = 4 * exchange::LONGEST_BODY;
+/// Part of the sockets that clients may use. Open requests need as many sockets to servers, and clients keep
+/// idle connections too.
+const CLIENT_SOCKET_FRACTION: f64 = 0.6;
+/// Memory budgeted for one open request: twice its largest request and response body together, so that bodies
+/// take up at most half of the node's memory.
+const OPEN_REQUEST_BYTES: usize = 4 * exchange::MAX_BODY_BYTES;
 
-async fn run(config: Config, path: String) -> Result<(), Box<dyn Error>> {
-    // Before the node is ready: an unhandled SIGHUP ends the process.
+/// Runs the node until SIGTERM has been handled or one of its main tasks ends.
+async fn run(config: Config, config_path: String) -> Result<(), Box<dyn Error>> {
+    // Installed before the node reports that it is ready: a SIGHUP without a handler ends the process.
     let mut term = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let listener = TcpListener::bind(config.listen).await?;
     let listen = listener.local_addr()?;
     let peers = match config.peer_listen {
-        Some(listen) => Some(Peers::bind(listen, config.peers.clone(), config.peers_all).await?),
+        Some(listen) => Some(Peers::bind(listen, config.peers.clone(), config.peer_broadcast).await?),
         None => None,
     };
     let (tx, rx) = mpsc::unbounded_channel();
-    let all = config.sockets.saturating_sub(OWN_DESCRIPTORS + OVERFLOW).max(2);
-    let servers = Servers::new(config.figures.clone(), Budget::new(all));
-    let witness = config.audit.then(|| Witness::new(&config.name));
-    let agent = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
-    let mut driver = Driver::new(&config, servers.clone(), peers.clone(), witness.clone(), tx.clone());
-    driver.start(&config.known);
+    let sockets = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + REJECTION_CONNECTIONS).max(2);
+    let servers = Servers::new(config.node_settings.clone(), SocketBudget::new(sockets));
+    let reporter = config.is_audited.then(|| RevisionReporter::new(&config.name));
+    // Reports go to the address of discovery, where the node's agent listens.
+    let agent_addr = std::rc::Rc::new(std::cell::Cell::new(config.discovery));
+    let mut driver = Driver::new(&config, servers.clone(), peers.clone(), reporter.clone(), tx.clone());
+    driver.start(&config.cached_list);
+    let client_sockets = (sockets as f64 * CLIENT_SOCKET_FRACTION) as usize;
     let clients = Clients::new(
         config.settings,
-        config.names,
-        config.figures.open_cap.min((config.memory / HELD_BYTES).max(1)),
+        config.request_names,
+        config.node_settings.max_open_requests.min((config.max_memory_bytes / OPEN_REQUEST_BYTES).max(1)),
         servers,
-        (Budget::new((all as f64 * CLIENTS) as usize), Budget::new(OVERFLOW)),
-        witness.clone(),
+        (SocketBudget::new(client_sockets), SocketBudget::new(REJECTION_CONNECTIONS)),
+        reporter.clone(),
         tx.clone(),
     );
-    if let Some(witness) = witness {
-        spawn_local(witness.tell(agent.clone()));
+    if let Some(reporter) = reporter {
+        spawn_local(reporter.run(agent_addr.clone()));
     }
     if let Some(peers) = peers {
         let tx = tx.clone();
         spawn_local(async move {
             loop {
-                let (from, data) = peers.next().await;
-                let _ = tx.send(Msg::Peer { from, data });
+                let (from, data) = peers.receive().await;
+                let _ = tx.send(DriverMessage::PeerDatagram { from, data });
             }
         });
     }
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            match read(&path).and_then(|text| Ok(config::discovery_of(&text)?)) {
+            match read_file(&config_path).and_then(|text| Ok(config::parse_discovery_address(&text)?)) {
                 Ok(addr) => {
-                    info!(discovery = %addr, "configuration read again");
-                    agent.set(addr);
-                    let _ = tx.send(Msg::Discovery(addr));
+                    info!(discovery = %addr, "configuration reloaded");
+                    agent_addr.set(addr);
+                    let _ = tx.send(DriverMessage::DiscoveryMoved(addr));
                 }
-                Err(error) => warn!(%error, "configuration kept"),
+                Err(error) => warn!(%error, "configuration not reloaded; the old one stays in effect"),
             }
         }
     });
     let driver = spawn_local(driver.run(rx));
-    let acceptor = spawn_local(clients.clone().accept(listener));
+    let acceptor = spawn_local(clients.clone().accept_connections(listener));
     info!(%listen, "ready");
-    let serve = async {
+    let drain_on_sigterm = async {
         term.recv().await;
         info!("drains");
         clients.drain().await;
     };
-    // Without its driver or acceptor a node answers nobody; the platform starts a new one.
+    // Without the driver or the acceptor the node answers no requests; it ends so that the platform starts a
+    // new one.
     tokio::select! {
-        () = serve => Ok(()),
-        ended = driver => Err(format!("the driver ended: {ended:?}").into()),
-        ended = acceptor => Err(format!("the acceptor ended: {ended:?}").into()),
+        () = drain_on_sigterm => Ok(()),
+        ended = driver => Err(format!("the driver task ended: {ended:?}").into()),
+        ended = acceptor => Err(format!("the task that accepts connections ended: {ended:?}").into()),
     }
 }
 
-fn read(path: &str) -> Result<String, Box<dyn Error>> {
+fn read_file(path: &str) -> Result<String, Box<dyn Error>> {
     Ok(std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?)
 }
 
+/// Reads the configuration, starts the log and runs the node.
 fn start() -> Result<(), Box<dyn Error>> {
     let env: std::collections::HashMap<String, String> = std::env::vars_os()
         .filter_map(|(k, v)| Some((k.into_string().ok()?, v.into_string().ok()?)))
         .collect();
     let path = env.get("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?;
-    let (config, findings) = Config::read(&read(path)?, &env);
+    let (config, findings) = Config::parse(&read_file(path)?, &env);
     let config = config.ok_or_else(|| format!("{path}: {findings}"))?;
-    log::start(&env)?;
-    // All of it runs on this thread, so each line of the log has the name.
+    log::init(&env)?;
+    // The node runs on this thread alone, so every log line carries the span's field with the node's name.
     let _node = info_span!("node", node = config.name).entered();
     for finding in findings.all() {
-        warn!(path = finding.path, expected = finding.expected, found = finding.found, "left out");
+        warn!(
+            path = finding.path,
+            expected = finding.expected,
+            found = finding.found,
+            "invalid configuration value ignored"
+        );
     }
-    if !findings.assumed().is_empty() {
-        let assumed: Vec<_> =
-            findings.assumed().iter().map(|(path, stands)| format!("{path}={stands}")).collect();
-        warn!(assumed = assumed.join(" "), "not told by the settings");
+    if !findings.defaults().is_empty() {
+        let defaults: Vec<_> =
+            findings.defaults().iter().map(|(path, default)| format!("{path}={default}")).collect();
+        warn!(assumed = defaults.join(" "), "settings missing; using defaults");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(LocalSet::new().run_until(run(config, path.clone())))
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,12 +1,12 @@
-//! The real node over loopback sockets, between servers and a discovery of the test's own.
+//! Tests that run the node's binary over loopback sockets, with fake servers and a fake discovery service.
 
-mod answers;
-mod crowds;
-mod leaving;
+mod disconnects;
+mod harness;
 mod links;
 mod list;
 mod log;
 mod requests;
+mod resource_limits;
+mod responses;
 mod restart;
-mod site;
 mod tenancy;
